--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -40,6 +40,23 @@
     int deposed_ = 0;
 };
 
+// Controllers of other versions read the same keys in the key-value store: their names and fields
+// stay, and so does which of them end with the leader's lease.
+TEST_F(Lives, TheKeysOfALeaderKeepTheirNamesAndFields) {
+    const auto leader = begun("a");
+    ASSERT_TRUE(leader->standing().acting);
+    const auto role = store_.get("steward").entry;
+    const auto own = store_.get("controller/a").entry;
+    const auto view = store_.get("view").entry;
+    EXPECT_EQ(role.value, (wire::Value{{"name", "a"}, {"incarnation", own.value["incarnation"]}}));
+    EXPECT_EQ(own.value.size(), 1U);
+    EXPECT_FALSE(own.value["incarnation"].is_null());
+    EXPECT_EQ(view.value, (wire::Value{{"epoch", 1}, {"steward", "a"}, {"returns", 0}}));
+    EXPECT_NE(role.lease, 0U);
+    EXPECT_EQ(own.lease, role.lease);
+    EXPECT_EQ(view.lease, 0U);
+}
+
 TEST_F(Lives, ANewLifeTakesTheRoleOfItsFormerOneAtOnce) {
     const auto first = begun("a");
     ASSERT_TRUE(first->standing().acting);
