--- a/tests/days_test.cpp
+++ b/tests/days_test.cpp
@@ -1,4 +1,4 @@
-// Whole days of the scenario world, hundreds of machines and overlapping failures, drawn from a
+// Whole days of the simulated cluster, hundreds of machines and overlapping failures, drawn from a
 // fixed seed. Rules are checked at every step, and a digest of all decisions is compared with the
 // one recorded: work on the core's inner order must not change what it decides. A change that is
 // meant to records the new digest, and says why in its commit.
@@ -15,11 +15,11 @@
 struct Day {
     const char* name;
     unsigned seed;
-    int machines;  // up at the start; more are rented
+    int machines;  // up at the start; more are scaled out
     int seconds;
     double jobs_a_second;
-    bool takeovers;  // the acting controller ends, twice shortly one after the other
-    bool outage;     // the state service is down, also while a takeover is due
+    bool failovers;  // the leader ends, twice shortly one after the other
+    bool outage;     // the state service is down, also while a failover is due
     const char* digest;
 };
 
@@ -38,7 +38,7 @@
   public:
     explicit DayPlayer(const Day& day) : day_(day), draw_(day.seed) {
         XXH3_64bits_reset(state_.get());
-        world_.tell_decisions([this](const std::string& decision) {
+        cluster_.set_decision_observer([this](const std::string& decision) {
             XXH3_64bits_update(state_.get(), decision.data(), decision.size());
             for (auto& [kind, times] : kinds_)
                 if (decision.find(kind) != std::string::npos) ++times;
@@ -52,8 +52,8 @@
         say("team blue cpus=600 cpus-max=2500 gpus=200 gpus-max=500");
         say("start-within urgent 15");
         say("keep-idle 20");
-        say("rent yes capacity=60 boot=12");
-        say("direct yes");
+        say("scale-out yes capacity=60 boot=12");
+        say("direct-commands yes");
         say("controller");
         for (int i = 0; i < day_.machines; ++i) {
             machine_ = std::string("m").append(std::to_string(i));
@@ -62,7 +62,7 @@
                 (i % 41 == 40 ? " faulty=yes" : ""));
         }
         for (int second = 0; second < day_.seconds; ++second) {
-            if (acting_) submit(second);
+            if (leader_is_up_) submit(second);
             if (second > 20) fail(second);
             say("run 1");
         }
@@ -74,7 +74,7 @@
     const std::map<std::string, int>& kinds() const { return kinds_; }
 
   private:
-    void say(const std::string& line) { world_.line(line); }
+    void say(const std::string& line) { cluster_.execute(line); }
 
     void submit(int second) {
         // Twice the usual rate in the middle third: work builds up and preempts.
@@ -123,22 +123,22 @@
         if (draw_.once_in(9)) hit("resume");
         if (draw_.once_in(11)) hit("cut");
         if (draw_.once_in(9)) hit("heal");
-        if (draw_.once_in(13)) try_say("notice " + machine() + " 15");
-        if (draw_.once_in(13)) hit("hold-report");
-        if (draw_.once_in(17)) say("deliver-held");
-        if (draw_.once_in(13)) hit("hold-calls");
-        if (draw_.once_in(17)) say("deliver-calls");
-        if (draw_.once_in(13)) hit("slow-answer");
-        if (acting_ && draw_.once_in(13)) hit("lose-answer");
+        if (draw_.once_in(13)) try_say("spot-notice " + machine() + " 15");
+        if (draw_.once_in(13)) hit("delay-heartbeat");
+        if (draw_.once_in(17)) say("deliver-heartbeats");
+        if (draw_.once_in(13)) hit("delay-commands");
+        if (draw_.once_in(17)) say("deliver-commands");
+        if (draw_.once_in(13)) hit("delay-response");
+        if (leader_is_up_ && draw_.once_in(13)) hit("lose-response");
         if (day_.outage && second == day_.seconds / 2) say("state down");
         if (day_.outage && second == day_.seconds / 2 + 15) say("state up");
-        if (!day_.takeovers) return;
+        if (!day_.failovers) return;
         const int first = day_.seconds / 2 + 5;
         for (const int ends : {first, first + 12}) {
             if (second == ends) say("crash");
-            if (second == ends + 5) say("takeover");
-            if (second >= ends && second < ends + 5) acting_ = false;
-            if (second == ends + 5) acting_ = true;
+            if (second == ends + 5) say("failover");
+            if (second >= ends && second < ends + 5) leader_is_up_ = false;
+            if (second == ends + 5) leader_is_up_ = true;
         }
     }
     // A machine that has been released meanwhile cannot fail any more.
@@ -154,7 +154,7 @@
     };
     Day day_;
     Draw draw_;
-    standin::World world_;
+    standin::SimulatedCluster cluster_;
     std::unique_ptr<XXH3_state_t, FreeState> state_{XXH3_createState()};
     std::map<std::string, int> kinds_{{" verb 0 ", 0},  {" verb 1 ", 0},  {" verb 2 ", 0},
                                       {" grace 4", 0},  {" rent ", 0},    {" write 0 ", 0},
@@ -163,7 +163,7 @@
     std::string machine_;
     double due_ = 0;
     int jobs_ = 0;
-    bool acting_ = true;
+    bool leader_is_up_ = true;
 };
 
 class Days : public testing::TestWithParam<Day> {};
@@ -176,10 +176,10 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    World, Days,
+    SimulatedCluster, Days,
     testing::Values(Day{"machines", 1, 320, 180, 3.0, false, false, "b440ec875d15b7c6"},
-                    Day{"takeovers", 2, 200, 150, 2.8, true, false, "edd5919d2e1391b4"},
-                    Day{"takeovers_in_outage", 3, 160, 150, 2.4, true, true, "7684f769d38f5045"}),
+                    Day{"failovers", 2, 200, 150, 2.8, true, false, "edd5919d2e1391b4"},
+                    Day{"failovers_in_outage", 3, 160, 150, 2.4, true, true, "7684f769d38f5045"}),
     [](const auto& day) { return std::string(day.param.name); });
 
 }  // namespace
--- a/tests/randomized_simulation_test.cpp
+++ b/tests/randomized_simulation_test.cpp
@@ -1,11 +1,11 @@
-// Schedules of troubles drawn from a seed, played in the scenario world with the rules checked at
-// every step: machines that do not hear, hang, are cut off, die or get their notice; late copies of
-// reports and calls; lost and slow answers; a controller that ends, stands still, or goes on behind
-// a cut with some of the workers; outages; mistaken jobs and cancellations. Once all troubles are
-// over every accepted job must be known, and those that can be done must be done. A schedule that
-// fails is cut down to a few lines, which are a scenario.
+// Random scenarios from a seed, played on the simulated cluster with the rules checked at every
+// step: machines that are cut off in one or both directions, hang, die or get a spot notice; late
+// copies of heartbeats and commands; lost and delayed responses; a leader that ends, pauses, or
+// goes on behind a partition with some of the agents; outages; always failing jobs and
+// cancellations. Once all faults are over every accepted job must be known, and those that can be
+// done must be done. A scenario that fails is reduced to a few lines.
 //
-// BENDSPINDLE_DRAWN=FIRST,COUNT plays other seeds than those of every day.
+// BENDSPINDLE_RANDOM_SEEDS=FIRST,COUNT plays other seeds than those of every day.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -29,7 +29,7 @@
 };
 
 constexpr int machines = 8;
-constexpr std::size_t world_lines = 7;  // at the start: without them there is no world
+constexpr std::size_t setup_lines = 7;  // without them there is no cluster
 
 std::string some_job(Draw& draw, int number) {
     std::string line = "job job-" + std::to_string(number);
@@ -50,19 +50,19 @@
                     std::to_string(1 + draw.below(8));
     }
     line += draw.below(2) ? " team=red" : " team=blue";
-    if (draw.below(12) == 0) line += " mistaken=yes";
+    if (draw.below(12) == 0) line += " always-fails=yes";
     return line + " image-gb=" + std::to_string(draw.below(4)) +
            " run=" + std::to_string(2 + draw.below(25));
 }
 
-Lines drawn(unsigned seed) {
+Lines random_scenario(unsigned seed) {
     Draw draw(seed);
     Lines out{"type g8 cpus=8 gpus=4 memory=64",
               "team red cpus=16 cpus-max=40",
               "team blue cpus=8 cpus-max=48",
               "keep-idle 20",
-              "rent yes boot=5",
-              std::string("direct ") + (draw.below(4) ? "yes" : "no"),
+              "scale-out yes boot=5",
+              std::string("direct-commands ") + (draw.below(4) ? "yes" : "no"),
               "controller"};
     const auto machine = [&] { return "m" + std::to_string(draw.below(machines)); };
     for (int i = 0; i < machines; ++i)
@@ -71,12 +71,12 @@
     int jobs = 0;
     bool split = false;
     bool down = false;
-    const auto trouble = [&]() -> std::string {
+    const auto fault = [&]() -> std::string {
         switch (draw.below(18)) {
             case 0:
-                return "deafen " + machine();
+                return "cut-inbound " + machine();
             case 1:
-                return "undeafen " + machine();
+                return "heal-inbound " + machine();
             case 2:
                 return "cut " + machine();
             case 3:
@@ -88,30 +88,30 @@
             case 6:
                 return "kill " + machine();
             case 7:
-                return "notice " + machine() + " " + std::to_string(4 + draw.below(12));
+                return "spot-notice " + machine() + " " + std::to_string(4 + draw.below(12));
             case 8:
             case 9:
-                return "hold-report " + machine();
+                return "delay-heartbeat " + machine();
             case 10:
-                return "deliver-held";
+                return "deliver-heartbeats";
             case 11:
-                return "hold-calls " + machine();
+                return "delay-commands " + machine();
             case 12:
-                return "deliver-calls";
+                return "deliver-commands";
             case 13:
-                return "slow-answer " + machine();
+                return "delay-response " + machine();
             case 14:
-                return "lose-answer " + machine();
+                return "lose-response " + machine();
             case 15:
-                return "stand-still " + std::to_string(1 + draw.below(20));
+                return "pause-leader " + std::to_string(1 + draw.below(20));
             case 16:
                 if (split) {
                     split = false;
-                    return "join";
+                    return "heal-partition";
                 }
-                if (draw.below(2)) return "crash\ntakeover";
+                if (draw.below(2)) return "crash\nfailover";
                 split = true;
-                return "split " + machine() + " " + machine() + " " + machine();
+                return "partition-leader " + machine() + " " + machine() + " " + machine();
             default:
                 down = !down;
                 return down ? "state down" : "state up";
@@ -121,7 +121,7 @@
         if (!down && draw.below(5) == 0) out.push_back(some_job(draw, ++jobs));
         if (!down && jobs > 0 && draw.below(30) == 0)
             out.push_back("cancel job-" + std::to_string(1 + draw.below(jobs)));
-        if (draw.below(3) == 0) out.push_back(trouble());
+        if (draw.below(3) == 0) out.push_back(fault());
         out.push_back("run 1");
     }
     return out;
@@ -129,9 +129,9 @@
 
 // Everything is whole again, late messages included; what is left has time to end.
 Lines over() {
-    Lines out{"join", "state up", "deliver-held", "deliver-calls"};
+    Lines out{"heal-partition", "state up", "deliver-heartbeats", "deliver-commands"};
     for (int i = 0; i < machines; ++i)
-        for (const auto* verb : {"undeafen", "heal", "resume", "mend"})
+        for (const auto* verb : {"heal-inbound", "heal", "resume", "repair"})
             out.push_back(std::string(verb) + " m" + std::to_string(i));
     out.push_back("run 400");
     out.push_back("expect served");
@@ -140,10 +140,10 @@
 
 // Empty: nothing failed.
 std::string failure_of(const Lines& lines) {
-    standin::World world;
+    standin::SimulatedCluster cluster;
     const auto say = [&](const std::string& line) {
         try {
-            world.line(line);
+            cluster.execute(line);
         } catch (const std::out_of_range&) {
             // A machine that has been returned meanwhile cannot fail any more.
         }
@@ -168,7 +168,7 @@
 // Leaves out what the failure does not need, in ever smaller pieces.
 Lines shrunk(Lines lines, const std::string& kind) {
     for (std::size_t piece = lines.size() / 2; piece > 0; piece /= 2)
-        for (std::size_t at = world_lines; at + piece <= lines.size();) {
+        for (std::size_t at = setup_lines; at + piece <= lines.size();) {
             Lines without = lines;
             const auto from = without.begin() + static_cast<std::ptrdiff_t>(at);
             without.erase(from, from + static_cast<std::ptrdiff_t>(piece));
@@ -181,16 +181,16 @@
     return lines;
 }
 
-TEST(Drawn, SchedulesOfTroublesBreakNoRuleAndForgetNoJob) {
+TEST(RandomizedSimulation, FaultCombinationsBreakNoRuleAndLoseNoJob) {
     unsigned first = 1;
     unsigned count = 150;
-    if (const char* asked = std::getenv("BENDSPINDLE_DRAWN")) {
+    if (const char* asked = std::getenv("BENDSPINDLE_RANDOM_SEEDS")) {
         char* rest = nullptr;
         first = static_cast<unsigned>(std::strtoul(asked, &rest, 10));
         if (*rest == ',') count = static_cast<unsigned>(std::strtoul(rest + 1, nullptr, 10));
     }
     for (unsigned seed = first; seed < first + count; ++seed) {
-        const auto lines = drawn(seed);
+        const auto lines = random_scenario(seed);
         const auto failure = failure_of(lines);
         if (failure.empty()) continue;
         std::string scenario;
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -14,12 +14,12 @@
     void TestBody() override {
         std::ifstream in(file_);
         ASSERT_TRUE(in) << file_;
-        bendspindle::standin::World world;
+        bendspindle::standin::SimulatedCluster cluster;
         int number = 0;
         for (std::string line; std::getline(in, line);) {
             ++number;
             try {
-                world.line(line);
+                cluster.execute(line);
             } catch (const std::exception& e) {
                 FAIL() << file_.filename().string() << ":" << number << ": " << e.what();
             }
--- a/tests/standin/controllers.hpp
+++ b/tests/standin/controllers.hpp
@@ -7,6 +7,7 @@
 #include <unistd.h>
 
 #include <chrono>
+#include <cstdlib>
 #include <filesystem>
 #include <fstream>
 #include <string>
@@ -89,9 +90,10 @@
     void start(int i) {
         const auto file = (directory_ / ("c" + std::to_string(i))).string();
         const auto own = (directory_ / "operator").string();
+        const char* program = program_of(i);
         pids_[static_cast<std::size_t>(i)] = ::fork();
         if (pids_[static_cast<std::size_t>(i)] == 0) {
-            ::execl(PROGRAM, PROGRAM, "serve", "--config", file.c_str(), "--operator", own.c_str(),
+            ::execl(program, program, "serve", "--config", file.c_str(), "--operator", own.c_str(),
                     nullptr);
             ::_exit(127);
         }
@@ -129,6 +131,13 @@
   private:
     static constexpr int nobody = 29;  // no one listens there
 
+    // A roll-out has two versions side by side: BENDSPINDLE_FIRST_PROGRAM names the program of
+    // another version, which the first controller runs.
+    static const char* program_of(int i) {
+        const char* other = std::getenv("BENDSPINDLE_FIRST_PROGRAM");
+        return i == 0 && other ? other : PROGRAM;
+    }
+
     int base_;
     std::filesystem::path directory_;
     std::vector<pid_t> pids_;
--- a/tests/standin/leader_change_simulation.hpp
+++ b/tests/standin/leader_change_simulation.hpp
@@ -39,9 +39,9 @@
 #include "agents/heartbeat_handler.hpp"
 #include "core/controller.hpp"
 #include "leadership/leader_elector.hpp"
+#include "standin/simulated_agent.hpp"
 #include "standin/simulated_key_value_store.hpp"
 #include "standin/timeline.hpp"
-#include "standin/worker.hpp"
 
 namespace bendspindle::standin {
 
--- a/tests/standin/worker.hpp
+++ b/tests/standin/simulated_agent.hpp
@@ -1,4 +1,4 @@
-// A worker as the protocol describes it, in simulated time. It checks nothing that the protocol
+// An agent as the protocol describes it, in simulated time. It checks nothing that the protocol
 // does not make it check, so that a controller's mistake shows.
 #pragma once
 
@@ -26,7 +26,7 @@
     double waited = 0;  // for the others of its gang
 };
 
-struct Worker {
+struct SimulatedAgent {
     std::string name;
     std::string type;
     std::string zone;
@@ -34,22 +34,23 @@
     std::uint64_t agent_epoch = 1;
     std::uint64_t sequence = 0;
     std::uint64_t fencing_token = 0;
-    std::optional<double> notice;
+    std::optional<double> spot_notice;
     std::vector<Task> tasks;
     std::set<std::string> images;
-    double last_answered = 0;
+    double last_response = 0;
     double next_heartbeat = 0;
-    bool reachable = true;    // its reports reach the controllers, and answers come back
-    bool deaf = false;        // its reports arrive; no answer and no call reaches it
-    bool mute = false;        // it opens no connection to a controller; calls to it arrive
-    bool slow_call = false;   // the answer to the next call to it takes three seconds
-    bool with_elder = false;  // behind a cut with the former controller, which goes on acting
+    bool reachable = true;  // its heartbeats reach the controllers, and responses come back
+    bool inbound_unreachable =
+        false;  // its heartbeats arrive; no response and no command reaches it
+    bool outbound_unreachable = false;      // it reaches no controller; commands to it arrive
+    bool command_response_delayed = false;  // the response to the next command takes three seconds
+    bool with_former_leader = false;        // behind a partition with the former leader
     bool hung = false;
     bool dead = false;
     bool faulty = false;
-    bool slow_answer = false;  // the answer to its next report takes three seconds
-    double waits_until = 0;    // one report is in flight at a time
-    bool calls_held = false;   // direct calls to it hang, and arrive late
+    bool response_delayed = false;     // the response to its next heartbeat takes three seconds
+    double awaits_response_until = 0;  // one heartbeat is in flight at a time
+    bool commands_delayed = false;     // direct commands to it hang, and arrive late
 
     core::Heartbeat heartbeat() {
         core::Heartbeat r;
@@ -61,7 +62,7 @@
         r.agent_epoch = agent_epoch;
         r.sequence = ++sequence;
         r.fencing_token = fencing_token;
-        if (notice) r.notice = core::Seconds(*notice);
+        if (spot_notice) r.notice = core::Seconds(*spot_notice);
         for (const auto& t : tasks)
             r.tasks.push_back({t.job, t.index, t.attempt, t.state, t.cause, t.saved});
         return r;
--- a/tests/standin/simulated_cluster.hpp
+++ b/tests/standin/simulated_cluster.hpp
@@ -1,4 +1,4 @@
-// A deployment in simulated time: workers, a cloud, durable records, and the rules checked at
+// A deployment in simulated time: agents, a cloud, a key-value store, and the rules checked at
 // every step. Scenarios (tests/scenarios/*.scn) drive it.
 #pragma once
 
@@ -11,42 +11,79 @@
 #include <vector>
 
 #include "core/controller.hpp"
-#include "standin/worker.hpp"
+#include "standin/scenario_arguments.hpp"
+#include "standin/simulated_agent.hpp"
 
 namespace bendspindle::standin {
 
-class World {
+class SimulatedCluster {
   public:
-    World();
+    SimulatedCluster();
     // Executes one line of a scenario; throws std::runtime_error when an expectation fails.
-    void line(const std::string& text);
-    // Is told of everything the controller decides, a line each: orders, writes, rentals, returns.
-    void tell_decisions(std::function<void(const std::string&)> to) { decided_ = std::move(to); }
+    void execute(const std::string& line);
+    // Called with each decision of the leader, a line each: commands, writes, scaling.
+    void set_decision_observer(std::function<void(const std::string&)> to) {
+        on_decision_ = std::move(to);
+    }
 
   private:
-    using Words = std::vector<std::string>;
-    struct Held {
-        Worker worker;  // as it was: the machine may be gone when its report arrives
+    struct DelayedHeartbeat {
+        SimulatedAgent agent;  // as it was: the machine may be gone when its report arrives
         core::Heartbeat heartbeat;
     };
 
-    std::string option(const Words& words, const std::string& name, const std::string& other) const;
-    double number(const Words& words, const std::string& name, double other) const;
+    using Verbs = std::map<std::string, void (*)(SimulatedCluster&, const ScenarioArguments&)>;
+    using Expectations =
+        std::map<std::string, bool (*)(const SimulatedCluster&, const ScenarioArguments&)>;
+
+    // The language of scenarios.
+    static const Verbs& verbs();
+    static const Expectations& expectations();
+    void run(double seconds);
+    SimulatedAgent& agent(const ScenarioArguments& arguments);
+    void add_machine_type(const ScenarioArguments& arguments);
+    void add_team(const ScenarioArguments& arguments);
+    void add_machine(const ScenarioArguments& arguments);
+    void set_catalog(bool up);
+    void partition_leader(const ScenarioArguments& arguments);
+    void heal_partition();
+    void submit_job(const ScenarioArguments& arguments);
+    void cancel_job(const std::string& id);
+    void adopt_jobs();
+    void flood(const ScenarioArguments& arguments);
+    void set_writes(const ScenarioArguments& arguments);
+    void list_machines(const ScenarioArguments& arguments);
+    void deliver_delayed_commands();
+    void deliver_delayed_heartbeats();
+    void expect(const ScenarioArguments& arguments);
+    bool jobs_started_in_order(const ScenarioArguments& arguments) const;
+    std::size_t starts_of(const std::string& job) const;
+    bool has_terminal_state(const ScenarioArguments& arguments) const;
+    bool task_is_on(const ScenarioArguments& arguments) const;
+    std::size_t running_tasks(const std::string& job) const;
+    bool reports_exit(const ScenarioArguments& arguments) const;
+
+    // Time, agents and cloud.
     void step();
-    void deliver(Worker& worker, const core::Heartbeat& heartbeat, bool answered);
-    void obey(Worker& worker, const std::vector<core::TaskCommand>& commands);
-    void note_orders(const std::string& machine,
-                     const std::vector<core::TaskCommand>& commands) const;
-    void note(const std::string& decision) const;
-    void call(const core::DirectCommand& call, bool answered);
-    void advance(Worker& worker, double dt);
-    void stand_still(double seconds);
-    void direct(core::Controller& from);
-    void expect_served();
-    void check_waiting();
-    bool waits_in_vain(const core::JobSpec& spec) const;
-    bool has_room(const Worker& worker, const core::JobSpec& spec, std::uint32_t& tasks) const;
-    void flood(const Words& words);
+    void start_booted_machines();
+    void send_heartbeats();
+    void deliver_responses();
+    void scale();
+    SimulatedAgent boot_machine(const core::ScaleOutRequest& request);
+    void deliver(SimulatedAgent& agent, const core::Heartbeat& heartbeat, bool answered);
+    void execute_commands(SimulatedAgent& agent, const std::vector<core::TaskCommand>& commands);
+    void record_commands(const std::string& machine,
+                         const std::vector<core::TaskCommand>& commands) const;
+    void record_decision(const std::string& decision) const;
+    void deliver_command(const core::DirectCommand& command, bool answered);
+    void advance(SimulatedAgent& agent, double dt);
+    void pause_leader(double seconds);
+    void send_direct_commands(core::Controller& from);
+    void expect_served() const;
+    void check_waiting_jobs();
+    bool waits_beside_room(const core::JobSpec& spec) const;
+    bool has_room(const SimulatedAgent& agent, const core::JobSpec& spec,
+                  std::uint32_t& tasks) const;
     struct Transaction {
         double at;  // when it is carried out
         std::uint64_t term;
@@ -55,21 +92,20 @@
     };
     enum class Writes : std::uint8_t { prompt, slow, refused, unanswered };
 
-    // The recorder's part: what is due goes out, one transaction at a time.
+    // As the state writer does: what is due goes out, one transaction at a time.
     void write_records();
-    // The state service's part: what has arrived is carried out if its conditions hold.
+    // As the key-value store does: what has arrived is carried out if its conditions hold.
     void carry_out_writes();
     bool conditions_hold(const Transaction& transaction) const;
     bool condition_holds(const core::RecordWrite& change) const;
     void carry_out(const core::RecordWrite& change, std::uint64_t mod_revision);
-    void read_back(const core::RecordWrite& change);
-    void answer_late_calls();
-    // Users repeat what has not been answered.
-    void users_repeat();
-    void take_over();
+    void reconcile_conflict(const core::RecordWrite& change);
+    void deliver_command_responses();
+    // Clients retry what has not been answered.
+    void retry_requests();
+    void start_new_leader();
     void check_rules();
-    void started(const std::string& job, std::uint32_t index, const Worker& on);
-    void expect(const Words& words);
+    void check_start(const std::string& job, std::uint32_t index, const SimulatedAgent& on);
     core::TimePoint at() const;
     [[noreturn]] void fail(const std::string& why) const;
 
@@ -79,58 +115,58 @@
     std::vector<core::MachineType> types_;
     std::uint64_t term_ = 0;
     std::unique_ptr<core::Controller> controller_;
-    // The former one, cut off from state service and peers, not from workers `with_elder`.
-    std::unique_ptr<core::Controller> elder_;
+    // The former one, cut off from state service and peers, not from workers `with_former_leader`.
+    std::unique_ptr<core::Controller> former_leader_;
     // Durable records, as the state service would hold them.
     std::uint64_t revision_ = 1;
     bool state_up_ = true;
     Writes writes_ = Writes::prompt;
-    double writes_late_ = 0;
-    double write_again_ = 0;  // not before
+    double write_delay_ = 0;
+    double next_write_at_ = 0;  // not before
     std::vector<Transaction> transactions_;
-    int refused_writes_ = 0;  // transactions whose conditions did not hold
-    bool users_repeat_ = false;
-    double patience_ = 0;  // how long a job may wait beside room for it; 0: nobody looks
-    std::map<std::string, double> waits_since_;
+    int rejected_writes_ = 0;  // transactions whose conditions did not hold
+    bool clients_retry_ = false;
+    double longest_wait_beside_room_ = 0;  // seconds; 0: not checked
+    std::map<std::string, double> waiting_since_;
     std::set<std::string> submitting_;
     std::set<std::string> cancelling_;
     std::map<std::string, std::pair<core::JobRecord, std::uint64_t>> jobs_;
     std::map<std::string, core::TerminalState> terminal_states_;
     std::map<std::string, std::pair<core::ListedMachine, std::uint64_t>> records_;
-    std::map<std::string, Worker> workers_;
+    std::map<std::string, SimulatedAgent> agents_;
     std::map<std::string, core::JobSpec> specs_;
     std::map<std::string, double> run_time_;
-    std::set<std::string> mistaken_;  // jobs that fail on every machine
+    std::set<std::string> always_failing_;  // jobs that fail on every machine
     std::map<std::string, double> cancelled_at_;
-    std::map<std::string, core::TerminalState> told_;
-    std::vector<Held> held_reports_;
-    struct Late {
+    std::map<std::string, core::TerminalState> last_reported_;
+    std::vector<DelayedHeartbeat> delayed_heartbeats_;
+    struct DelayedResponse {
         double at;
-        std::string worker;
+        std::string agent;
         std::uint64_t agent_epoch;
         core::HeartbeatResponse answer;
     };
-    std::vector<Late> late_answers_;
-    struct LateCallAnswer {
+    std::vector<DelayedResponse> delayed_responses_;
+    struct DelayedCommandResponse {
         double at;
-        core::DirectCommand call;
+        core::DirectCommand deliver_command;
         core::Heartbeat heartbeat;
     };
-    std::vector<LateCallAnswer> late_call_answers_;
-    std::vector<core::DirectCommand> held_calls_;
+    std::vector<DelayedCommandResponse> delayed_command_responses_;
+    std::vector<core::DirectCommand> delayed_commands_;
     std::vector<std::string> start_order_;
     std::map<std::string, std::map<std::uint32_t, bool>> completed_;
     bool cloud_up_ = true;
     bool catalog_ = true;
-    bool direct_ = false;
-    bool auto_rent_ = false;
-    int rented_ = 0;
+    bool direct_commands_enabled_ = false;
+    bool scale_out_enabled_ = false;
+    int machines_scaled_out_ = 0;
     int capacity_ = 1000;
     double boot_ = 5;
-    std::vector<std::pair<double, Worker>> booting_;
+    std::vector<std::pair<double, SimulatedAgent>> booting_;
     std::set<std::string> released_;
-    std::set<std::string> unreadable_;  // machines whose record makes no sense
-    std::function<void(const std::string&)> decided_;
+    std::set<std::string> unreadable_records_;  // machines whose record makes no sense
+    std::function<void(const std::string&)> on_decision_;
 };
 
 }  // namespace bendspindle::standin
