--- a/src/leadership/cancellation_replication.cpp
+++ b/src/leadership/cancellation_replication.cpp
@@ -10,9 +10,10 @@
 
 using std::chrono::milliseconds;
 
+// Statuses between controllers.
 constexpr int ok = 200;
-constexpr int does_not_act = 421;
-constexpr int knows_nothing = 503;
+constexpr int not_leading = 421;
+constexpr int knows_no_term = 503;
 
 }  // namespace
 
@@ -22,15 +23,15 @@
 }
 
 CancellationReplication::CancellationReplication(std::string name,
-                                                 const core::AgentTimings& workers,
+                                                 const core::AgentTimings& timings,
                                                  Leadership& leadership, Peers& peers,
                                                  io::ClockFunction clock)
     : name_(std::move(name)),
       leadership_(leadership),
       peers_(peers),
       clock_(std::move(clock)),
-      proof_(workers, peers.names().size() + 1),
-      cancellation_replica_(workers, peers.names().size() + 1) {}
+      proof_(timings, peers.names().size() + 1),
+      replica_(timings, peers.names().size() + 1) {}
 
 void CancellationReplication::on_elected() {
     const std::lock_guard lock(mutex_);
@@ -38,23 +39,23 @@
 }
 
 void CancellationReplication::on_deposed(const CancelledJobs& own) {
-    const auto last = own_word(own);
+    const auto last = snapshot_as_leader(own);
     const std::lock_guard lock(mutex_);
-    cancellation_replica_.told(last, clock_());
+    replica_.apply_leader_snapshot(last, clock_());
 }
 
 void CancellationReplication::round() {
     if (leadership_.knows_leadership_record()) {
         const std::lock_guard lock(mutex_);
-        cancellation_replica_.begin(clock_());
+        replica_.begin(clock_());
     }
     const auto status = leadership_.status();
     if (!status.leading)
-        ask_for_word(status);
+        request_snapshots(status);
     else if (leadership_.lease_valid())
-        tell_peers(status);
+        announce_leadership(status);
     else
-        ask_for_vouchers(status);
+        request_confirmations(status);
 }
 
 bool CancellationReplication::may_renew() const {
@@ -67,82 +68,85 @@
     const core::Heartbeat& heartbeat) const {
     const auto now = clock_();
     const std::lock_guard lock(mutex_);
-    if (!cancellation_replica_.may_renew(now)) return std::nullopt;
-    return cancellation_replica_.stops(heartbeat, now);
+    if (!replica_.may_renew(now)) return std::nullopt;
+    return replica_.stop_commands(heartbeat, now);
 }
 
-// Guard against ran_cancelled: with the one that confirmed lost in an outage, nobody knew what to
-// stop. Peers know before the user does, enough of them for any majority to have one that knows.
+// Rule kept: ran_cancelled. With the leader that confirmed lost in an outage, no controller knew
+// what to stop. Peers know before the user does, enough of them for any majority to have one that
+// knows (LeadershipProof.ConfirmsWhatEveryMajorityOfTheOthersKnows).
 bool CancellationReplication::replicate_cancellation(const std::string& job, std::uint64_t term) {
     {
         const std::lock_guard lock(mutex_);
-        cancellation_replica_.cancelled(job, clock_());
+        replica_.record_cancellation(job, clock_());
     }
     const std::set<std::string> all(peers_.names().begin(), peers_.names().end());
-    std::set<std::string> told;
+    std::set<std::string> informed;
     const auto enough = [&] {
         const std::lock_guard lock(mutex_);
-        return proof_.may_confirm(told, all, clock_());
+        return proof_.may_confirm(informed, all, clock_());
     };
     for (const auto& peer : peers_.names()) {
         if (enough()) return true;
         const auto answer =
-            peers_.call_unless_resting(peer, {wire::peer::Op::cancelled, term, job, {}});
+            peers_.call_unless_unavailable(peer, {wire::peer::Op::cancelled, term, job, {}});
         if (!answer) continue;
         if (answer->term > term) leadership_.observe_newer_term(answer->term);
-        if (answer->status == ok) told.insert(peer);
+        if (answer->status == ok) informed.insert(peer);
     }
     return enough();
 }
 
-bool CancellationReplication::known_to_enough() const {
+bool CancellationReplication::acknowledged_by_quorum() const {
     const std::lock_guard lock(mutex_);
-    return proof_.known_to_enough();
+    return proof_.acknowledged_by_quorum();
 }
 
 wire::Response CancellationReplication::record_cancellation(const std::string& job,
                                                             std::uint64_t term) {
-    // What nobody has read the view for, or who knows better, keeps no promise.
-    if (!leadership_.knows_leadership_record()) return {knows_nothing, 0, {}};
-    if (term < leadership_.status().term) return {does_not_act, 0, {}};
+    // A controller that has not read the leadership record, or knows a newer term, makes no
+    // promise.
+    if (!leadership_.knows_leadership_record()) return {knows_no_term, 0, {}};
+    if (term < leadership_.status().term) return {not_leading, 0, {}};
     const std::lock_guard lock(mutex_);
-    cancellation_replica_.cancelled(job, clock_());
+    replica_.record_cancellation(job, clock_());
     return {ok, 0, {}};
 }
 
 wire::Response CancellationReplication::leader_snapshot(const std::string& peer,
                                                         const CancelledJobs& own) {
-    const auto word = own_word(own);
+    const auto snapshot = snapshot_as_leader(own);
     const std::lock_guard lock(mutex_);
-    proof_.gave_word(peer, clock_());
-    return {ok, 0, wire::peer::pack(word)};
+    proof_.record_snapshot_sent(peer, clock_());
+    return {ok, 0, wire::peer::pack(snapshot)};
 }
 
 wire::Response CancellationReplication::follower_snapshot() const {
-    if (!leadership_.knows_leadership_record()) return {knows_nothing, 0, {}};
+    if (!leadership_.knows_leadership_record()) return {knows_no_term, 0, {}};
     const std::lock_guard lock(mutex_);
-    return {does_not_act, 0, wire::peer::pack(cancellation_replica_.word(clock_()))};
+    return {not_leading, 0, wire::peer::pack(replica_.snapshot(clock_()))};
 }
 
-wire::peer::CancellationSnapshot CancellationReplication::own_word(const CancelledJobs& own) const {
+wire::peer::CancellationSnapshot CancellationReplication::snapshot_as_leader(
+    const CancelledJobs& own) const {
     const auto lease_end = leadership_.lease_end();
     const auto now = clock_();
     const std::lock_guard lock(mutex_);
-    const auto memory = cancellation_replica_.word(now);
+    const auto replicated = replica_.snapshot(now);
     wire::peer::CancellationSnapshot out;
-    out.age = std::chrono::ceil<milliseconds>(now - proof_.sole_until(lease_end, now));
-    out.memory = memory.memory;
+    out.age = std::chrono::ceil<milliseconds>(now - proof_.sole_leader_until(lease_end, now));
+    out.memory = replicated.memory;
     out.complete = own.complete;
     auto cancelled = own.jobs;
-    cancelled.insert(memory.cancelled.begin(), memory.cancelled.end());
+    cancelled.insert(replicated.cancelled.begin(), replicated.cancelled.end());
     out.cancelled.assign(cancelled.begin(), cancelled.end());
     return out;
 }
 
-// Tells peers who acts, so that a former leader that the state service refuses, or that is slow to
-// notice, steps back before workers lose time with it. Said only with a valid lease: it is also the
-// word that the state service answers.
-void CancellationReplication::tell_peers(const LeadershipStatus& status) {
+// Announces the term to peers, so that a former leader that the key-value store refuses, or that is
+// slow to notice, steps down before agents lose time with it. Only with a valid lease: peers take
+// the announcement for a sign that the key-value store answers.
+void CancellationReplication::announce_leadership(const LeadershipStatus& status) {
     for (const auto& peer : peers_.names()) {
         const auto answer =
             peers_.call(peer, {wire::peer::Op::leader_announcement, status.term, name_, {}});
@@ -150,57 +154,58 @@
         if (answer->term > status.term) leadership_.observe_newer_term(answer->term);
         const std::lock_guard lock(mutex_);
         if (answer->term == status.term && leadership_.status().term == status.term)
-            proof_.acknowledged(peer);
+            proof_.record_acknowledgement(peer);
     }
 }
 
-// In an outage of the state service nobody else can have taken the role; where it refuses this
-// controller alone, somebody can, and peers know.
-void CancellationReplication::ask_for_vouchers(const LeadershipStatus& status) {
-    ask_all_but_leader(status, [this](const auto& peer, const auto&, core::TimePoint asked) {
+// In an outage of the key-value store no other controller can have been elected; where the store
+// refuses this controller alone, one can, and peers know its term.
+void CancellationReplication::request_confirmations(const LeadershipStatus& status) {
+    request_from_followers(status, [this](const auto& peer, const auto&, core::TimePoint asked_at) {
         const std::lock_guard lock(mutex_);
-        proof_.vouched(peer, asked);
+        proof_.record_confirmation(peer, asked_at);
     });
 }
 
-// The word of the leader, or else those of the followers: with the leader lost in an outage, what
-// runs goes on by what they remember together.
-void CancellationReplication::ask_for_word(const LeadershipStatus& status) {
+// The leader's snapshot, or else those of the followers: with the leader lost in an outage, running
+// tasks go on by what the followers remember together.
+void CancellationReplication::request_snapshots(const LeadershipStatus& status) {
     if (status.term == 0) return;
-    if (!ask_leader(status)) ask_followers(status);
+    if (!request_leader_snapshot(status)) request_follower_snapshots(status);
 }
 
-bool CancellationReplication::ask_leader(const LeadershipStatus& status) {
+bool CancellationReplication::request_leader_snapshot(const LeadershipStatus& status) {
     if (!peers_.knows(status.leader)) return false;
-    const auto asked = clock_();
+    const auto asked_at = clock_();
     const auto answer =
         peers_.call(status.leader, {wire::peer::Op::cancellation_snapshot, status.term, name_, {}});
     if (!answer) return false;
     if (answer->term > status.term) leadership_.observe_newer_term(answer->term);
     if (answer->status != ok || answer->term != status.term) return false;
-    const auto word = wire::peer::parse_cancellation_snapshot(answer->body);
-    if (!word) return false;
+    const auto snapshot = wire::peer::parse_cancellation_snapshot(answer->body);
+    if (!snapshot) return false;
     const std::lock_guard lock(mutex_);
-    cancellation_replica_.told(*word, asked);
+    replica_.apply_leader_snapshot(*snapshot, asked_at);
     return true;
 }
 
-void CancellationReplication::ask_followers(const LeadershipStatus& status) {
-    ask_all_but_leader(status, [this](const auto& peer, const auto& answer, core::TimePoint asked) {
-        const auto word = wire::peer::parse_cancellation_snapshot(answer.body);
-        if (!word) return;
-        const std::lock_guard lock(mutex_);
-        cancellation_replica_.answered(peer, *word, asked);
-    });
+void CancellationReplication::request_follower_snapshots(const LeadershipStatus& status) {
+    request_from_followers(
+        status, [this](const auto& peer, const auto& answer, core::TimePoint asked_at) {
+            const auto snapshot = wire::peer::parse_cancellation_snapshot(answer.body);
+            if (!snapshot) return;
+            const std::lock_guard lock(mutex_);
+            replica_.apply_follower_snapshot(peer, *snapshot, asked_at);
+        });
 }
 
-// Asks each peer that is not the leader what is cancelled, and steps back for a higher term. An
+// Asks each peer that is not the leader for its snapshot, and steps down for a newer term. An
 // answer counts from when it was asked for.
-void CancellationReplication::ask_all_but_leader(const LeadershipStatus& status,
-                                                 const Answered& answered) {
+void CancellationReplication::request_from_followers(const LeadershipStatus& status,
+                                                     const OnAnswer& on_answer) {
     for (const auto& peer : peers_.names()) {
         if (peer == status.leader) continue;
-        const auto asked = clock_();
+        const auto asked_at = clock_();
         const auto answer =
             peers_.call(peer, {wire::peer::Op::cancellation_snapshot, status.term, name_, {}});
         if (!answer) continue;
@@ -208,9 +213,10 @@
             leadership_.learn_leader(answer->term, {});
             return;
         }
-        // One that has not read the view since it began may have forgotten a later term.
-        if (answer->term != status.term || answer->status == knows_nothing) continue;
-        answered(peer, *answer, asked);
+        // A peer that has not read the leadership record since it started may have forgotten a
+        // newer term.
+        if (answer->term != status.term || answer->status == knows_no_term) continue;
+        on_answer(peer, *answer, asked_at);
     }
 }
 
--- a/src/leadership/cancellation_replication.hpp
+++ b/src/leadership/cancellation_replication.hpp
@@ -1,16 +1,19 @@
-// What controllers tell each other so that a confirmed cancellation ends the tasks whoever is lost
-// (docs/troubles.md, "What a confirmed cancellation needs").
-//
-//  - The leader tells its peers that it acts, and each job that it is about to call cancelled. Once
-//    its lease in the state service is no longer valid it asks them whether they know of another.
-//  - A follower asks the leader, or with that one lost the other followers, what is cancelled.
-//
-// From this each knows whether it may renew the leases of workers and what its answers stop. The
-// decisions are those of `LeadershipProof` and `CancellationReplica`; this class calls peers and
-// answers them, and holds its lock across no call. The time and the calls are passed in.
+/// What controllers exchange so that a confirmed cancellation ends its tasks whichever controller
+/// is lost (docs/troubles.md, "What a confirmed cancellation needs").
+///
+///  - The leader announces its term to its peers, and each job that it is about to confirm as
+///    cancelled. Once its lease in the key-value store is no longer valid it asks them whether they
+///    know a newer term.
+///  - A follower asks the leader or, with the leader lost, the other followers for the cancelled
+///    jobs.
+///
+/// From this each controller knows whether it may renew the leases of agents, and which tasks its
+/// responses stop. The decisions are those of `LeadershipProof` and `CancellationReplica`; this
+/// class calls peers and answers them. The daemon's announcing thread calls `round`, request
+/// threads the rest. The time and the calls are passed in.
 #pragma once
 
-#include <cstddef>
+#include <cstdint>
 #include <functional>
 #include <mutex>
 #include <optional>
@@ -20,73 +23,84 @@
 
 #include "core/controller.hpp"
 #include "io/clock.hpp"
-#include "leadership/agent_lease_policy.hpp"
+#include "leadership/cancellation_replica.hpp"
 #include "leadership/leadership.hpp"
+#include "leadership/leadership_proof.hpp"
 #include "leadership/peers.hpp"
 #include "wire/response.hpp"
 
 namespace bendspindle::leadership {
 
-// What the leader's records in memory say.
+/// What the leader's records in memory say of cancelled jobs.
 struct CancelledJobs {
-    // No machine may hold what a former leader cancelled.
+    /// No machine may hold what a former leader cancelled.
     bool complete = false;
-    std::set<std::string> jobs;  // with tasks on machines
+    /// Those with tasks on machines.
+    std::set<std::string> jobs;
 };
-CancelledJobs cancelled_jobs(const core::Controller& controller);
 
+/// Reads them from the leader's records. The caller holds the lock of the leader's state.
+[[nodiscard]] CancelledJobs cancelled_jobs(const core::Controller& controller);
+
+/// Safe from any thread: its mutex is held across no call to a peer.
 class CancellationReplication {
   public:
-    // `name`: this controller's. `role` and `peers` outlive this.
-    CancellationReplication(std::string name, const core::AgentTimings& workers,
+    /// `name`: this controller's. `leadership` and `peers` outlive this.
+    CancellationReplication(std::string name, const core::AgentTimings& timings,
                             Leadership& leadership, Peers& peers,
                             io::ClockFunction clock = io::steady_clock());
 
-    // This controller has become the leader.
+    /// This controller has become the leader.
     void on_elected();
-    // It is the leader no more. Guard against ran_cancelled: the duty outlives the role. What is
-    // not proved gone is stopped by this controller's answers as a follower.
+    /// It is the leader no more; `own`: what its records say. Rule kept: ran_cancelled. The duty to
+    /// stop cancelled tasks outlives the leadership: what is not proved gone is stopped by this
+    /// controller's responses as a follower.
     void on_deposed(const CancelledJobs& own);
-    // Tells or asks the peers, once a second.
+    /// Informs or asks the peers; meant to be called once a second. Blocks on calls to peers.
     void round();
 
-    // Whether the leader may renew leases of workers.
-    bool may_renew() const;
-    // A worker's report at a follower, with the leader out of reach: the stops to answer, if its
-    // lease may be renewed.
-    std::optional<std::vector<core::TaskCommand>> renew_without_leader(
+    /// Whether the leader may renew leases of agents.
+    [[nodiscard]] bool may_renew() const;
+    /// For an agent's heartbeat at a controller without the leader at hand: the stop commands of
+    /// the response, or none if its lease may not be renewed.
+    [[nodiscard]] std::optional<std::vector<core::TaskCommand>> renew_without_leader(
         const core::Heartbeat& heartbeat) const;
 
-    // Tells peers that a job is about to be called cancelled. False: too few of them know of it.
-    bool replicate_cancellation(const std::string& job, std::uint64_t term);
-    // Whether a former leader can no longer find a majority that vouches for it.
-    bool known_to_enough() const;
+    /// At the leader: informs peers that a job's cancellation is about to be confirmed. False: too
+    /// few of them know of it, and it must not be confirmed. Blocks on calls to peers.
+    [[nodiscard]] bool replicate_cancellation(const std::string& job, std::uint64_t term);
+    /// Whether a former leader can no longer find a majority that confirms its term.
+    [[nodiscard]] bool acknowledged_by_quorum() const;
 
-    // What peers are answered: to the leader that tells a cancelled job, and to one that asks what
-    // is cancelled, by the leader (with what it has in memory) and by a follower.
+    /// Response to a leader that announces a cancelled job.
     wire::Response record_cancellation(const std::string& job, std::uint64_t term);
+    /// Response of the leader to a peer that asks for the cancelled jobs; `own`: what its records
+    /// say.
     wire::Response leader_snapshot(const std::string& peer, const CancelledJobs& own);
-    wire::Response follower_snapshot() const;
+    /// Response of a follower to a peer that asks for them.
+    [[nodiscard]] wire::Response follower_snapshot() const;
 
   private:
-    using Answered =
-        std::function<void(const std::string& peer, const wire::peer::Answer&, core::TimePoint)>;
+    using OnAnswer = std::function<void(const std::string& peer, const wire::peer::Answer&,
+                                        core::TimePoint asked_at)>;
 
-    void tell_peers(const LeadershipStatus& status);
-    void ask_for_vouchers(const LeadershipStatus& status);
-    void ask_for_word(const LeadershipStatus& status);
-    bool ask_leader(const LeadershipStatus& status);
-    void ask_followers(const LeadershipStatus& status);
-    void ask_all_but_leader(const LeadershipStatus& status, const Answered& answered);
-    wire::peer::CancellationSnapshot own_word(const CancelledJobs& own) const;
+    void announce_leadership(const LeadershipStatus& status);
+    void request_confirmations(const LeadershipStatus& status);
+    void request_snapshots(const LeadershipStatus& status);
+    bool request_leader_snapshot(const LeadershipStatus& status);
+    void request_follower_snapshots(const LeadershipStatus& status);
+    void request_from_followers(const LeadershipStatus& status, const OnAnswer& on_answer);
+    wire::peer::CancellationSnapshot snapshot_as_leader(const CancelledJobs& own) const;
 
     const std::string name_;
     Leadership& leadership_;
     Peers& peers_;
     const io::ClockFunction clock_;
-    mutable std::mutex mutex_;  // taken while holding the office's, never the other way round
+    // Guards `proof_` and `replica_`. Taken while the mutex of state::LeaderState is held, never
+    // the other way round.
+    mutable std::mutex mutex_;
     LeadershipProof proof_;
-    CancellationReplica cancellation_replica_;
+    CancellationReplica replica_;
 };
 
 }  // namespace bendspindle::leadership
--- a/src/leadership/election.hpp
+++ b/src/leadership/election.hpp
@@ -1,10 +1,12 @@
-// Who takes the role, decided on what the state service holds. Pure: no call, no clock.
-//
-// A process that returns finds its former self's key, and nothing will ever renew that key's lease
-// again. Waiting for the lease to end was all that stood between the return and acting: 3 to 4 s in
-// which nothing new started. So it puts its own key over it by compare-and-set, under a higher
-// term, as any follower does once the key is gone. docs/acceptance.md argues why two by one name,
-// a frozen twin and late writes do no harm.
+/// Which controller becomes the leader, decided on what the key-value store holds. Pure: no call,
+/// no clock; called by `LeaderElector`.
+///
+/// A process that restarts finds the leader key of its former incarnation, whose lease nobody will
+/// renew again. Waiting for that lease to expire was all that stood between the restart and
+/// leading: 3 to 4 s in which nothing new started. So it reclaims the leadership: it puts its own
+/// key over the former one by compare-and-swap, under a newer term, as any follower does once the
+/// key is gone. docs/acceptance.md argues why two processes by one name, a stalled twin and late
+/// writes do no harm.
 #pragma once
 
 #include <cstdint>
@@ -15,37 +17,43 @@
 
 namespace bendspindle::leadership {
 
-// The leader's key as it was read.
+/// The leader key as it was read.
 struct LeaderKey {
-    std::string name;
-    std::uint64_t lease = 0;
-    std::uint64_t mod_revision = 0;
+    std::string name;                ///< of the controller that wrote it
+    std::uint64_t lease = 0;         ///< that it expires with
+    std::uint64_t mod_revision = 0;  ///< of the key in the store
 };
 
+/// This controller, as the election sees it.
 struct Candidate {
     std::string name;
-    std::uint64_t lease = 0;  // its own, valid
-    // It has neither acted nor seen another act: a key by its name can only be a former life's.
+    std::uint64_t lease = 0;  ///< its own, valid
+    /// It has neither led nor seen another controller lead: a key by its name can only be of a
+    /// former incarnation.
     bool just_restarted = false;
-    bool yielded = false;  // has let others go first already, in vain
+    /// It has yielded already, and no other controller became the leader.
+    bool yielded = false;
 };
 
+/// What the candidate is to do.
 enum class ElectionDecision : std::uint8_t {
-    follow,            // somebody else acts, or may
-    take,              // nobody does
-    reclaim,           // over the key of the own former life
-    yield_leadership,  // it is this one's turn, but it has kept ending: others go first for a while
+    follow,            ///< another controller leads, or may
+    take,              ///< none does: become the leader
+    reclaim,           ///< become the leader, over the key of the own former incarnation
+    yield_leadership,  ///< it would be elected, but keeps restarting: others go first for a while
 };
 
-// Lives without progress after which a controller gives way.
+/// Restarts without progress, one after the other, after which a controller yields.
 inline constexpr std::uint32_t max_consecutive_restarts = 3;
 
-// `key`: none if there is none. `view`: none before the very first.
-ElectionDecision decide_election(const std::optional<LeaderKey>& key,
-                                 const std::optional<wire::LeadershipRecord>& view,
-                                 const Candidate& self);
-// How many lives of the next leader will have begun to act one after the other.
-std::uint32_t next_consecutive_restarts(const std::optional<wire::LeadershipRecord>& view,
-                                        const Candidate& self);
+/// `key`: none if no leader key is held. `record`: none before the very first election.
+[[nodiscard]] ElectionDecision decide_election(const std::optional<LeaderKey>& key,
+                                               const std::optional<wire::LeadershipRecord>& record,
+                                               const Candidate& self);
+
+/// How many incarnations of the next leader will have been elected one after the other, beyond the
+/// first.
+[[nodiscard]] std::uint32_t next_consecutive_restarts(
+    const std::optional<wire::LeadershipRecord>& record, const Candidate& self);
 
 }  // namespace bendspindle::leadership
--- a/src/leadership/leader_elector.cpp
+++ b/src/leadership/leader_elector.cpp
@@ -1,12 +1,11 @@
 #include "leadership/leader_elector.hpp"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 #include <random>
 #include <thread>
 #include <utility>
 
+#include "io/log.hpp"
 #include "state/keys.hpp"
 
 namespace bendspindle::leadership {
@@ -16,17 +15,31 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-constexpr milliseconds check_every{500};
-// Without news; the watch usually tells sooner.
-constexpr milliseconds look_every{1000};
+constexpr milliseconds round_every{500};
+constexpr int max_jitter_ms = 50;  // either way, so that controllers do not call in step
+// Without a change that `watch` has noticed, which usually comes sooner.
+constexpr milliseconds check_every{1000};
 constexpr milliseconds watch_wait{10'000};
 constexpr milliseconds watch_pause{500};
 // Steady clocks run up to 0.05% fast or slow against each other; a little more is allowed for.
 constexpr double drift_allowance = 0.998;
 constexpr milliseconds judgement_margin{150};
-constexpr double renewals_a_lease = 4;
-// Beyond the rest of its own lease, which nobody may take before it ends.
-constexpr milliseconds others_first{2000};
+constexpr double renewals_per_lease = 4;
+// Beyond the rest of its own lease, with which its leader key expires.
+constexpr milliseconds yield_time{2000};
+// As the revision in a condition of compare-and-swap: the key must not exist.
+constexpr std::uint64_t key_absent = 0;
+// As the revision that a watch goes on from: there is none, the key has to be listed first.
+constexpr std::uint64_t nothing_known = 0;
+
+std::uint64_t random_incarnation() {
+    std::random_device device;
+    return (static_cast<std::uint64_t>(device()) << 16) ^ device();
+}
+
+bool surely_revoked(state::StoreStatus status) {
+    return status == state::StoreStatus::ok || status == state::StoreStatus::absent;
+}
 
 }  // namespace
 
@@ -36,10 +49,8 @@
       name_(std::move(name)),
       lease_time_(lease),
       events_(std::move(events)),
-      clock_(std::move(clock)) {
-    std::random_device device;
-    incarnation_ = (static_cast<std::uint64_t>(device()) << 16) ^ device();
-}
+      clock_(std::move(clock)),
+      incarnation_(random_incarnation()) {}
 
 LeadershipStatus LeaderElector::status() const {
     const std::lock_guard lock(mutex_);
@@ -61,12 +72,21 @@
     return knows_leadership_record_;
 }
 
+std::optional<std::uint64_t> LeaderElector::own_lease() const {
+    const std::lock_guard lock(mutex_);
+    return lease_;
+}
+
+void LeaderElector::request_check() {
+    check_now_ = true;
+    check_wanted_.notify_one();
+}
+
 void LeaderElector::observe_newer_term(std::uint64_t term) {
     const std::lock_guard lock(mutex_);
     if (term <= status_.term) return;
-    leader_key_seen_ = 0;
-    look_now_ = true;
-    wake_.notify_one();
+    leader_key_seen_.reset();
+    request_check();
 }
 
 void LeaderElector::learn_leader(std::uint64_t term, const std::string& leader) {
@@ -77,141 +97,154 @@
         was_leading = status_.leading;
         status_ = {term, leader, false, 0};
         if (leader.empty()) {
-            leader_key_seen_ = 0;
-            look_now_ = true;
-            wake_.notify_one();
+            leader_key_seen_.reset();
+            request_check();
         }
     }
     if (!was_leading) return;
-    spdlog::info("{} acts under epoch {}; acting no more", leader.empty() ? "another" : leader,
-                 term);
+    io::log::info("leader_deposed", "cause", "newer_term", "term", term, "leader",
+                  leader.empty() ? "unknown" : leader);
     events_.on_deposed();
 }
 
-void LeaderElector::step_down() {
+void LeaderElector::step_down(std::string_view cause) {
     bool was_leading = false;
+    std::uint64_t term = 0;
     {
         const std::lock_guard lock(mutex_);
         lease_.reset();
-        // Given up before its time, another may act at once.
+        // Given up before its time, another controller may lead at once.
         valid_until_ = std::min(valid_until_, clock_());
         was_leading = status_.leading;
+        term = status_.term;
         status_.leading = false;
         if (was_leading) status_.leader.clear();
     }
-    if (was_leading) {
-        spdlog::info("lost the steward's lease; acting no more");
-        events_.on_deposed();
-    }
+    if (!was_leading) return;
+    io::log::info("leader_deposed", "cause", cause, "term", term);
+    events_.on_deposed();
 }
 
-void LeaderElector::renew() {
+void LeaderElector::renew_lease() {
     const auto sent = clock_();
-    std::optional<std::uint64_t> lease;
     std::optional<std::uint64_t> held;
     {
         const std::lock_guard lock(mutex_);
         if (sent < next_renewal_ || resigned_) return;
-        lease = held = lease_;
-    }
-    const auto life = duration_cast<milliseconds>(lease_time_);
-    if (!lease) {
-        const auto granted = store_.grant_lease(life);
-        if (!granted) return;
-        const auto put =
-            store_.compare_and_swap({}, {{state::keys::controller(name_),
-                                          wire::Value{{"incarnation", incarnation_}}, *granted}});
-        if (put.outcome != state::StoreStatus::ok) return;
-        lease = granted;
-    } else {
-        const auto outcome = store_.keep_alive(*lease);
-        if (outcome == state::StoreStatus::absent) {
-            step_down();
-            return;
-        }
-        if (outcome != state::StoreStatus::ok) return;
-        // Guard against a former life that goes on: its lease may live while another life of its
-        // name has put its own key over the one that the lease was for. Without this it would tell
-        // users what it knew for as long as it renews.
-        if (const auto now = status(); now.leading) {
-            const auto holds = holds_key(now.leader_key_revision);
-            if (!holds) return;
-            if (!*holds) {
-                step_down();
-                return;
-            }
-        }
+        held = lease_;
     }
+    auto lease = held;
+    if (!held)
+        lease = grant_lease();
+    else if (!keep_alive(*held))
+        return;
+    if (!lease) return;
     const std::lock_guard lock(mutex_);
     // Given up while it was being renewed.
     if (resigned_ || lease_ != held) return;
     lease_ = lease;
-    // The service counts from when it got the request; from its sending is the safe side.
+    // The store counts from when it got the request; from its sending is the safe side.
     valid_until_ =
         sent + duration_cast<milliseconds>(lease_time_ * drift_allowance) - judgement_margin;
-    next_renewal_ = sent + duration_cast<milliseconds>(lease_time_ / renewals_a_lease);
+    next_renewal_ = sent + duration_cast<milliseconds>(lease_time_ / renewals_per_lease);
+}
+
+// A new lease with this controller's own key under it; none if either failed.
+std::optional<std::uint64_t> LeaderElector::grant_lease() {
+    const auto granted = store_.grant_lease(duration_cast<milliseconds>(lease_time_));
+    if (!granted) return std::nullopt;
+    const auto put = store_.compare_and_swap(
+        {},
+        {{state::keys::controller(name_), wire::Value{{"incarnation", incarnation_}}, *granted}});
+    if (put.outcome != state::StoreStatus::ok) return std::nullopt;
+    return granted;
+}
+
+// Whether the lease was renewed and is still that of the leader key, while leading.
+bool LeaderElector::keep_alive(std::uint64_t lease) {
+    const auto outcome = store_.keep_alive(lease);
+    if (outcome == state::StoreStatus::absent) {
+        step_down("lease_expired");
+        return false;
+    }
+    if (outcome != state::StoreStatus::ok) return false;
+    // A former incarnation that goes on may keep its lease while another incarnation of its name
+    // has put its own key over the one that the lease was for. Without this check it would answer
+    // users with what it knew for as long as it renews
+    // (LeaderElectorRestart.AFormerIncarnationThatResumesStepsDownAndReclaimsNothing).
+    const auto now = status();
+    if (!now.leading) return true;
+    const auto owned = owns_leader_key(now.leader_key_revision);
+    if (!owned) return false;
+    if (!*owned) step_down("leader_key_replaced");
+    return *owned;
 }
 
-std::optional<bool> LeaderElector::holds_key(std::uint64_t mod_revision) {
+// None: not known, the store did not answer.
+std::optional<bool> LeaderElector::owns_leader_key(std::uint64_t mod_revision) {
     const auto key = store_.get(state::keys::leader);
     if (key.outcome == state::StoreStatus::absent) return false;
     if (key.outcome != state::StoreStatus::ok) return std::nullopt;
     return key.entry.mod_revision == mod_revision;
 }
 
-void LeaderElector::look() {
-    const auto before = status();
-    if (before.leading || !lease_valid()) return;
+// None if there is nothing to decide on: the key is known already, or the store did not answer, or
+// the record cannot be read.
+std::optional<LeaderElector::StoredLeadership> LeaderElector::read_leadership() {
+    StoredLeadership stored;
     const auto leader = store_.get(state::keys::leader);
-    std::optional<LeaderKey> key;
     if (leader.outcome == state::StoreStatus::ok) {
         const auto& entry = leader.entry;
-        key = LeaderKey{entry.value.value("name", std::string()), entry.lease, entry.mod_revision};
+        stored.key =
+            LeaderKey{entry.value.value("name", std::string()), entry.lease, entry.mod_revision};
         const std::lock_guard lock(mutex_);
-        if (entry.mod_revision == leader_key_seen_) return;
+        if (entry.mod_revision == leader_key_seen_) return std::nullopt;
     } else if (leader.outcome != state::StoreStatus::absent) {
-        return;
-    }
-    const auto view = store_.get(state::keys::leadership_record);
-    if (view.outcome != state::StoreStatus::ok && view.outcome != state::StoreStatus::absent)
-        return;
-    std::optional<wire::LeadershipRecord> parsed;
-    if (view.outcome == state::StoreStatus::ok) {
-        parsed = wire::parse_leadership_record(view.entry.value);
-        if (!parsed) {
-            spdlog::error("the view in the state service cannot be read; not acting");
-            return;
-        }
-    }
-    std::optional<std::uint64_t> lease;
-    {
-        const std::lock_guard lock(mutex_);
-        lease = lease_;
+        return std::nullopt;
     }
+    const auto record = store_.get(state::keys::leadership_record);
+    if (record.outcome == state::StoreStatus::absent) return stored;
+    if (record.outcome != state::StoreStatus::ok) return std::nullopt;
+    stored.record = wire::parse_leadership_record(record.entry.value);
+    stored.record_revision = record.entry.mod_revision;
+    if (stored.record) return stored;
+    io::log::error("leadership_record_unreadable", "key", state::keys::leadership_record);
+    return std::nullopt;
+}
+
+void LeaderElector::check_leadership() {
+    if (status().leading || !lease_valid()) return;
+    const auto stored = read_leadership();
+    if (!stored) return;
+    const auto lease = own_lease();
     if (!lease) return;
     const Candidate self{name_, *lease, just_restarted_, yielded_};
-    switch (decide_election(key, parsed, self)) {
+    switch (decide_election(stored->key, stored->record, self)) {
         case ElectionDecision::follow:
+            follow(*stored);
             break;
         case ElectionDecision::take:
         case ElectionDecision::reclaim:
-            if (!yielding()) take_over(key, parsed, parsed ? view.entry.mod_revision : 0, self);
-            return;
+            if (!yielding()) become_leader(*stored, self);
+            break;
         case ElectionDecision::yield_leadership:
-            spdlog::error("ended {} times soon after taking the role; others go first",
-                          parsed->consecutive_restarts);
+            io::log::error("leadership_yielded", "cause", "consecutive_restarts", "restarts",
+                           stored->record->consecutive_restarts);
             yielded_ = true;
-            let_others_go_first();
-            return;
+            begin_yielding();
+            break;
     }
-    if (!parsed) return;
+}
+
+void LeaderElector::follow(const StoredLeadership& stored) {
+    if (!stored.record) return;
     just_restarted_ = false;
     const std::lock_guard lock(mutex_);
     knows_leadership_record_ = true;
-    leader_key_seen_ = leader.entry.mod_revision;
-    if (parsed->term >= status_.term) {
-        status_.term = parsed->term;
-        status_.leader = parsed->leader == name_ ? std::string{} : parsed->leader;
+    if (stored.key) leader_key_seen_ = stored.key->mod_revision;
+    if (stored.record->term >= status_.term) {
+        status_.term = stored.record->term;
+        status_.leader = stored.record->leader == name_ ? std::string{} : stored.record->leader;
     }
 }
 
@@ -220,86 +253,95 @@
     return clock_() < yielding_until_;
 }
 
-void LeaderElector::let_others_go_first() {
+void LeaderElector::begin_yielding() {
     const std::lock_guard lock(mutex_);
-    yielding_until_ = clock_() + duration_cast<milliseconds>(lease_time_) + others_first;
+    yielding_until_ = clock_() + duration_cast<milliseconds>(lease_time_) + yield_time;
 }
 
-void LeaderElector::take_over(const std::optional<LeaderKey>& former,
-                              const std::optional<wire::LeadershipRecord>& view,
-                              std::uint64_t leadership_record_revision, const Candidate& self) {
-    const wire::LeadershipRecord next{view ? view->term + 1 : 1, name_,
-                                      next_consecutive_restarts(view, self)};
-    // Under the new lease in the same step: the key is never gone, so nobody else takes the role
-    // without knowing of the former life that may not be over.
+void LeaderElector::become_leader(const StoredLeadership& stored, const Candidate& self) {
+    const auto& former = stored.key;
+    const wire::LeadershipRecord next{stored.record ? stored.record->term + 1 : 1, name_,
+                                      next_consecutive_restarts(stored.record, self)};
+    // Under the new lease in the same step: the key is never gone, so no other controller is
+    // elected without knowing of the former incarnation that may still run.
     const auto cas_result = store_.compare_and_swap(
-        {{state::keys::leader, former ? former->mod_revision : 0},
-         {state::keys::leadership_record, leadership_record_revision}},
+        {{state::keys::leader, former ? former->mod_revision : key_absent},
+         {state::keys::leadership_record, stored.record_revision}},
         {{state::keys::leader, wire::Value{{"name", name_}, {"incarnation", incarnation_}},
           self.lease},
          {state::keys::leadership_record, wire::leadership_record(next), std::nullopt}});
-    // An unanswered transaction may have made this controller the leader without its knowing, or
-    // may still do so. Once its lease is ended for certain neither can last; else the lease runs
-    // out.
-    if (cas_result.outcome == state::StoreStatus::unknown) {
-        step_down();
-        const auto ended = store_.revoke_lease(self.lease);
-        const bool certain = ended == state::StoreStatus::ok || ended == state::StoreStatus::absent;
-        const std::lock_guard lock(mutex_);
-        if (!certain) next_renewal_ = clock_() + duration_cast<milliseconds>(lease_time_);
-        return;
-    }
+    if (cas_result.outcome == state::StoreStatus::unknown) abandon_lease(self.lease);
     if (cas_result.outcome != state::StoreStatus::ok) return;
-    {
-        const std::lock_guard lock(mutex_);
-        // The lease that holds the key has been given up meanwhile.
-        if (resigned_ || lease_ != self.lease) return;
-        status_ = {next.term, name_, true, cas_result.revision};
-        knows_leadership_record_ = true;
-        leader_key_seen_ = cas_result.revision;
-        // Guard: the life before may have ended before it ended the lease of its own former life.
-        const auto doubt = view && view->consecutive_restarts > 0
-                               ? clock_() + duration_cast<milliseconds>(lease_time_)
-                               : Clock::time_point{};
-        terminal_states_allowed_from_ = former ? Clock::time_point::max() : doubt;
-        progress_ = false;
-    }
+    if (!record_election(stored, self, next, cas_result.revision)) return;
     just_restarted_ = false;
-    view_ = next;
-    leadership_record_revision_ = cas_result.revision;
+    written_record_ = next;
+    written_record_revision_ = cas_result.revision;
     if (former) former_lease_ = former->lease;
-    spdlog::info("acting under epoch {}{}", next.term, former ? ", returned at once" : "");
+    io::log::info("leader_elected", "term", next.term, "reclaimed", former.has_value());
     events_.on_elected(next.term, cas_result.revision);
 }
 
-// Once it is ended the former life, should it live, renews it no more.
-void LeaderElector::end_former_lease() {
+// False: the lease that holds the key has been given up meanwhile.
+bool LeaderElector::record_election(const StoredLeadership& stored, const Candidate& self,
+                                    const wire::LeadershipRecord& next,
+                                    std::uint64_t leader_key_revision) {
+    const std::lock_guard lock(mutex_);
+    if (resigned_ || lease_ != self.lease) return false;
+    status_ = {next.term, name_, true, leader_key_revision};
+    knows_leadership_record_ = true;
+    leader_key_seen_ = leader_key_revision;
+    if (stored.key) {
+        // Set once the former incarnation's lease is revoked.
+        terminal_states_allowed_from_ = Clock::time_point::max();
+    } else if (stored.record && stored.record->consecutive_restarts > 0) {
+        // The incarnation before may have ended before it revoked the lease of the one before it.
+        terminal_states_allowed_from_ = clock_() + duration_cast<milliseconds>(lease_time_);
+    } else {
+        terminal_states_allowed_from_ = Clock::time_point{};
+    }
+    progress_ = false;
+    return true;
+}
+
+// An unanswered compare-and-swap may have made this controller the leader without its knowing, or
+// may still do so. Once its lease is surely revoked neither can last; else the lease must expire.
+void LeaderElector::abandon_lease(std::uint64_t lease) {
+    step_down("election_unconfirmed");
+    const auto revoked = store_.revoke_lease(lease);
+    const std::lock_guard lock(mutex_);
+    if (!surely_revoked(revoked))
+        next_renewal_ = clock_() + duration_cast<milliseconds>(lease_time_);
+}
+
+// Once it is revoked the former incarnation, should it still run, can renew it no more.
+void LeaderElector::revoke_former_lease() {
     if (!former_lease_) return;
-    const auto ended = store_.revoke_lease(*former_lease_);
-    if (ended != state::StoreStatus::ok && ended != state::StoreStatus::absent) return;
+    if (!surely_revoked(store_.revoke_lease(*former_lease_))) return;
     former_lease_.reset();
     const std::lock_guard lock(mutex_);
     terminal_states_allowed_from_ = clock_() + duration_cast<milliseconds>(lease_time_);
 }
 
-// So that the next life's return is not counted with those that got nowhere.
-void LeaderElector::record_progress() {
+// So that the next incarnation's restart is not counted with those that made no progress.
+void LeaderElector::reset_restart_count() {
     const auto now = status();
     {
         const std::lock_guard lock(mutex_);
         if (!progress_) return;
     }
-    if (!now.leading || view_.consecutive_restarts == 0 || view_.term != now.term) return;
-    auto settled = view_;
+    if (!now.leading || written_record_.consecutive_restarts == 0 ||
+        written_record_.term != now.term)
+        return;
+    auto settled = written_record_;
     settled.consecutive_restarts = 0;
     const auto cas_result = store_.compare_and_swap(
         {{state::keys::leader, now.leader_key_revision},
-         {state::keys::leadership_record, leadership_record_revision_}},
+         {state::keys::leadership_record, written_record_revision_}},
         {{state::keys::leadership_record, wire::leadership_record(settled), std::nullopt}});
-    // A conflict: this very write went through unnoticed, or another controller acts.
+    // A conflict: this very write was committed unnoticed, or another controller leads.
     if (cas_result.outcome == state::StoreStatus::ok ||
         cas_result.outcome == state::StoreStatus::conflict)
-        view_ = settled;
+        written_record_ = settled;
 }
 
 LeaderElector::Clock::time_point LeaderElector::terminal_states_allowed_from() const {
@@ -312,60 +354,61 @@
     progress_ = true;
 }
 
-void LeaderElector::round(bool look_who_acts) {
-    renew();
-    end_former_lease();
-    record_progress();
-    if (look_who_acts) look();
+void LeaderElector::maintain_lease() {
+    renew_lease();
+    revoke_former_lease();
+    reset_restart_count();
+}
+
+void LeaderElector::round() {
+    maintain_lease();
+    check_leadership();
 }
 
 void LeaderElector::run() {
     std::mt19937 random(static_cast<unsigned>(incarnation_));
-    std::uniform_int_distribution<int> jitter(0, 100);
-    auto next_look = clock_();
+    std::uniform_int_distribution<int> jitter_ms(-max_jitter_ms, max_jitter_ms);
+    auto next_check = clock_();
     for (;;) {
-        const bool look_too = clock_() >= next_look;
-        if (look_too) next_look = clock_() + look_every;
-        round(look_too);
+        const bool check_due = clock_() >= next_check;
+        if (check_due) next_check = clock_() + check_every;
+        maintain_lease();
+        if (check_due) check_leadership();
         std::unique_lock lock(mutex_);
-        wake_.wait_for(lock, check_every + milliseconds(jitter(random) - 50),
-                       [&] { return look_now_; });
-        if (std::exchange(look_now_, false)) next_look = clock_();
+        check_wanted_.wait_for(lock, round_every + milliseconds(jitter_ms(random)),
+                               [&] { return check_now_; });
+        if (std::exchange(check_now_, false)) next_check = clock_();
     }
 }
 
-// Guard against nobody acting for longer than the lease asks for: polling alone notices an ended
-// lease half its interval late, on average.
+// Polling alone notices an expired lease half its interval late, on average, and no controller
+// would lead for that much longer.
 void LeaderElector::watch() {
-    std::uint64_t since = 0;
+    std::uint64_t since = nothing_known;  // the revision up to which changes are known
     for (;;) {
         if (status().leading) {
-            since = 0;
-            std::this_thread::sleep_for(look_every);
+            since = nothing_known;
+            std::this_thread::sleep_for(check_every);
             continue;
         }
-        const auto news = since == 0 ? store_.list(state::keys::leader)
-                                     : store_.watch(state::keys::leader, since, watch_wait);
-        if (news.outcome == state::StoreStatus::ok) since = news.revision;
-        if (news.outcome == state::StoreStatus::too_old) since = 0;
+        const auto changes = since == nothing_known
+                                 ? store_.list(state::keys::leader)
+                                 : store_.watch(state::keys::leader, since, watch_wait);
+        if (changes.outcome == state::StoreStatus::ok) since = changes.revision;
+        if (changes.outcome == state::StoreStatus::too_old) since = nothing_known;
         {
             const std::lock_guard lock(mutex_);
-            look_now_ = true;
-            wake_.notify_one();
+            request_check();
         }
-        if (news.outcome != state::StoreStatus::ok) std::this_thread::sleep_for(watch_pause);
+        if (changes.outcome != state::StoreStatus::ok) std::this_thread::sleep_for(watch_pause);
     }
 }
 
 void LeaderElector::yield_leadership() {
-    let_others_go_first();
-    std::optional<std::uint64_t> lease;
-    {
-        const std::lock_guard lock(mutex_);
-        lease = lease_;
-    }
-    step_down();
-    // Unanswered, it ends by itself: nobody renews it.
+    begin_yielding();
+    const auto lease = own_lease();
+    step_down("yielded");
+    // Unanswered, the lease expires by itself: nobody renews it.
     if (lease) store_.revoke_lease(*lease);
 }
 
@@ -376,8 +419,8 @@
         resigned_ = true;
         lease = lease_;
     }
-    // First nothing is done or told any more in this role, then another may take it.
-    step_down();
+    // First nothing is done or answered any more as the leader, then another may be elected.
+    step_down("resigned");
     if (lease) store_.revoke_lease(*lease);
 }
 
--- a/src/leadership/leader_elector.hpp
+++ b/src/leadership/leader_elector.hpp
@@ -1,4 +1,9 @@
-// The controller's lease, and who acts: the view and the leader key in the state service.
+/// Election and lease: this controller's lease in the key-value store, the leader key and the
+/// leadership record.
+///
+/// The daemon runs `run` and `watch` on a thread each; `resign` and `yield_leadership` come from
+/// others. What must hold: this controller leads only while the leader key is its own, and judges
+/// its lease by its own clock, on the safe side.
 #pragma once
 
 #include <chrono>
@@ -8,6 +13,7 @@
 #include <mutex>
 #include <optional>
 #include <string>
+#include <string_view>
 
 #include "core/model/types.hpp"
 #include "io/clock.hpp"
@@ -17,78 +23,115 @@
 
 namespace bendspindle::leadership {
 
+/// `run`, `round`, `maintain_lease` and `check_leadership` belong to one thread; the rest is safe
+/// from any.
 class LeaderElector : public Leadership {
   public:
     using Clock = std::chrono::steady_clock;
+
+    /// Called without the elector's lock, by the thread that noticed the change.
     struct Events {
+        /// This controller has become the leader. `leader_key_revision`: the condition of its
+        /// writes.
         std::function<void(std::uint64_t term, std::uint64_t leader_key_revision)> on_elected;
+        /// It leads no more.
         std::function<void()> on_deposed;
     };
 
+    /// `store` outlives this. `lease`: how long this controller's lease lasts unrenewed.
     LeaderElector(state::KeyValueStore& store, std::string name, core::Seconds lease, Events events,
                   io::ClockFunction clock = io::steady_clock());
-    // Each runs until the process ends: one keeps the lease and looks who acts, the other waits
-    // for news of the leader so that the first looks at once.
+
+    /// Keeps the lease and checks the leadership, until the process ends.
     void run();
-    // One round of `run`, without its pauses.
-    void round(bool look_who_acts);
+    /// Waits for changes of the leader key, so that `run` checks at once; until the process ends.
     void watch();
-    // Acts no more and gives the lease up, so that another controller acts at once. For good.
+
+    /// One round of `run` without its pauses: both of the following.
+    void round();
+    /// Renews the lease if that is due, and settles what the election left to do: the lease of a
+    /// former incarnation, the count of restarts.
+    void maintain_lease();
+    /// Reads which controller leads, and becomes the leader if none does.
+    void check_leadership();
+
+    /// Leads no more and revokes the lease, so that another controller is elected at once. For
+    /// good.
     void resign();
-    // The same for a while: if nobody else acts, this controller does again.
+    /// The same for a while: if no other controller is elected, this one is again.
     void yield_leadership();
 
     LeadershipStatus status() const override;
     bool lease_valid() const override;
     core::TimePoint lease_end() const override;
     bool knows_leadership_record() const override;
-    // From when on finals may be recorded. After a return over the key of a former life, that life,
-    // if it is not over after all, may believe in its lease for as long as a lease; what it then
-    // tells of an open job must not be older than a final told elsewhere.
-    Clock::time_point terminal_states_allowed_from() const;
-    // What this controller does as the one that acts gets somewhere: its next life may return at
-    // once.
-    void made_progress();
     void observe_newer_term(std::uint64_t term) override;
     void learn_leader(std::uint64_t term, const std::string& leader) override;
 
+    /// From when on terminal states may be recorded; `max()`: not yet known. After reclaiming the
+    /// leadership, the former incarnation, should it still run, may believe in its lease for as
+    /// long as a lease lasts; what it answers of an open job meanwhile must not be older than a
+    /// terminal state that another controller has answered.
+    Clock::time_point terminal_states_allowed_from() const;
+    /// This controller makes progress as the leader: its next incarnation may reclaim the
+    /// leadership at once.
+    void made_progress();
+
   private:
-    void renew();
-    std::optional<bool> holds_key(std::uint64_t mod_revision);
-    void look();
-    void take_over(const std::optional<LeaderKey>& former,
-                   const std::optional<wire::LeadershipRecord>& view,
-                   std::uint64_t leadership_record_revision, const Candidate& self);
-    void end_former_lease();
-    void record_progress();
-    void step_down();
+    // The leader key and the leadership record, read one after the other.
+    struct StoredLeadership {
+        std::optional<LeaderKey> key;
+        std::optional<wire::LeadershipRecord> record;
+        std::uint64_t record_revision = 0;  // 0 without a record: it must not exist
+    };
+
+    void renew_lease();
+    std::optional<std::uint64_t> grant_lease();
+    bool keep_alive(std::uint64_t lease);
+    std::optional<bool> owns_leader_key(std::uint64_t mod_revision);
+    std::optional<StoredLeadership> read_leadership();
+    void follow(const StoredLeadership& stored);
+    void become_leader(const StoredLeadership& stored, const Candidate& self);
+    bool record_election(const StoredLeadership& stored, const Candidate& self,
+                         const wire::LeadershipRecord& next, std::uint64_t leader_key_revision);
+    void abandon_lease(std::uint64_t lease);
+    void revoke_former_lease();
+    void reset_restart_count();
+    void step_down(std::string_view cause);
     bool yielding() const;
-    void let_others_go_first();
+    void begin_yielding();
+    std::optional<std::uint64_t> own_lease() const;
+    void request_check();  // needs the lock
 
     state::KeyValueStore& store_;
     const std::string name_;
     const core::Seconds lease_time_;
     const Events events_;
     const io::ClockFunction clock_;
+    const std::uint64_t incarnation_;  // a random number for this process
+
+    // Guards the members up to the next empty line; held across no call out.
     mutable std::mutex mutex_;
+    std::condition_variable check_wanted_;  // `check_now_` was set
+    bool check_now_ = true;
     LeadershipStatus status_;
     std::optional<std::uint64_t> lease_;
     Clock::time_point valid_until_{};
     Clock::time_point next_renewal_{};
-    std::condition_variable wake_;
-    bool look_now_ = true;
-    bool resigned_ = false;
-    std::uint64_t leader_key_seen_ = 0;  // mod_revision of the leader key whose view was read
-    std::uint64_t incarnation_ = 0;
-    bool knows_leadership_record_ = false;
-    bool just_restarted_ = true;  // until it acts or sees another act
-    bool yielded_ = false;
     Clock::time_point yielding_until_{};
-    std::optional<std::uint64_t> former_lease_;  // of a former life, to be ended
     Clock::time_point terminal_states_allowed_from_{};
-    wire::LeadershipRecord view_;  // as written, while acting
-    std::uint64_t leadership_record_revision_ = 0;
+    // Of the leader key whose leadership record was read: nothing new while it stays.
+    std::optional<std::uint64_t> leader_key_seen_;
+    bool resigned_ = false;
+    bool knows_leadership_record_ = false;
     bool progress_ = false;
+
+    // Of the thread that calls `round`, without a lock.
+    bool just_restarted_ = true;  // until it leads or sees another controller lead
+    bool yielded_ = false;
+    std::optional<std::uint64_t> former_lease_;  // of a former incarnation, to be revoked
+    wire::LeadershipRecord written_record_;      // as written, while leading
+    std::uint64_t written_record_revision_ = 0;
 };
 
 }  // namespace bendspindle::leadership
--- a/tests/agent_lease_policy_test.cpp
+++ b/tests/agent_lease_policy_test.cpp
@@ -1,10 +1,11 @@
-// Whether a controller may renew workers' leases after it lost sight of the state service or of the
-// controller that acts, and who may confirm cancellations meanwhile.
+// Whether a controller may renew agents' leases after it lost contact with the key-value store or
+// with the leader, and when cancellations may be confirmed meanwhile. Rule: ran_cancelled.
 #include "leadership/agent_lease_policy.hpp"
 
 #include <gtest/gtest.h>
 
-#include <bit>
+#include "leadership/cancellation_replica.hpp"
+#include "leadership/leadership_proof.hpp"
 
 namespace bendspindle::leadership {
 namespace {
@@ -12,14 +13,15 @@
 using namespace std::chrono_literals;
 const core::TimePoint start{std::chrono::hours(1)};
 
-core::AgentTimings times() {
+core::AgentTimings timings() {
     core::AgentTimings out;
     out.lease = 30s;
     out.cancel = 50s;
     return out;
 }
 
-core::Heartbeat running(const std::string& job) {
+// A heartbeat with a running and an exited task of the job.
+core::Heartbeat heartbeat_with_tasks_of(const std::string& job) {
     core::Heartbeat out;
     out.machine = "m1";
     out.tasks = {{job, 0, 7, core::TaskState::running, core::ExitCause::none, false},
@@ -27,188 +29,227 @@
     return out;
 }
 
-// Type is renewed last ends with its lease before the cancellation's time is over.
-TEST(Renewals, ALeaseRenewedWithinTheBoundEndsInTime) {
-    const auto bound = renewal_bound(times());
+// A leader's snapshot that was up to date `age` before it was asked for.
+wire::peer::CancellationSnapshot complete_snapshot(core::Seconds age,
+                                                   std::vector<std::string> jobs = {}) {
+    return {std::chrono::duration_cast<std::chrono::milliseconds>(age), 0s, true, std::move(jobs)};
+}
+
+wire::peer::CancellationSnapshot incomplete_snapshot(std::vector<std::string> jobs) {
+    return {0s, 0s, false, std::move(jobs)};
+}
+
+// The snapshot of a follower that has kept cancellations for so long.
+wire::peer::CancellationSnapshot follower_snapshot(core::Seconds memory,
+                                                   std::vector<std::string> jobs = {}) {
+    return {0s, std::chrono::duration_cast<std::chrono::milliseconds>(memory), true,
+            std::move(jobs)};
+}
+
+// The last lease to be renewed expires before the cancellation's deadline.
+TEST(AgentLeasePolicy, ALeaseRenewedWithinTheBoundExpiresBeforeTheDeadline) {
+    const auto bound = renewal_bound(timings());
     EXPECT_GT(bound, 10s);
-    EXPECT_LT(bound + times().lease, times().cancel);
+    EXPECT_LT(bound + timings().lease, timings().cancel);
 }
 
 TEST(LeadershipProof, HoldsForItsBoundBeyondItsOwnLease) {
-    LeadershipProof proof(times(), 3);
+    LeadershipProof proof(timings(), 3);
     proof.begin(start);
-    const auto bound = renewal_bound(times());
+    const auto bound = renewal_bound(timings());
+
     EXPECT_TRUE(proof.may_renew(start + 4s, start));
     EXPECT_TRUE(proof.may_renew(start, core::later(start, bound)));
     EXPECT_FALSE(proof.may_renew(start, core::later(start, bound + 1s)));
 }
 
-// In an outage for all: running work outlives it as long as a majority knows of nobody else.
-TEST(LeadershipProof, LivesOnThroughAnOutageWhileAMajorityVouches) {
-    LeadershipProof proof(times(), 5);
+// In an outage for all: running tasks outlive it as long as a majority knows of no newer term.
+TEST(LeadershipProof, HoldsThroughAnOutageWhileAMajorityConfirms) {
+    LeadershipProof proof(timings(), 5);
     proof.begin(start);
     const auto late = start + 300s;
-    proof.vouched("b", late);
+
+    proof.record_confirmation("b", late);
     EXPECT_FALSE(proof.may_renew(start, late)) << "two of five";
-    proof.vouched("c", late - 10s);
+    proof.record_confirmation("c", late - 10s);
+
     EXPECT_TRUE(proof.may_renew(start, late));
-    EXPECT_EQ(proof.sole_until(start, late), late - 10s);
+    EXPECT_EQ(proof.sole_leader_until(start, late), late - 10s);
     EXPECT_FALSE(proof.may_renew(start, late + 60s));
     proof.begin(start);
     EXPECT_FALSE(proof.may_renew(start, late));
 }
 
-TEST(LeadershipProof, OneAloneNeedsNobody) {
-    const LeadershipProof proof(times(), 1);
+TEST(LeadershipProof, ASingleControllerNeedsNoPeer) {
+    const LeadershipProof proof(timings(), 1);
+
     EXPECT_TRUE(proof.may_renew(start, start + 300s));
-    EXPECT_TRUE(proof.known_to_enough());
+    EXPECT_TRUE(proof.acknowledged_by_quorum());
 }
 
-// Whoever acknowledged a new term is among any majority that could vouch for the former
-// controller, for every number of controllers.
-TEST(LeadershipProof, AcknowledgementsMeetEveryMajority) {
+// Whoever acknowledged a new term is among any majority that could confirm the former leader's, for
+// every number of controllers.
+TEST(LeadershipProof, AcknowledgementsIntersectEveryMajority) {
     for (unsigned n = 2; n <= 7; ++n) {
-        // Bit 0: the new controller, which acknowledges itself. Bit 1: the former one.
-        for (unsigned told = 0; told < 1U << n; ++told) {
-            if (!(told & 1U) || (told & 2U)) continue;  // told itself, the former one acts no more
-            LeadershipProof proof(times(), n);
+        // Bit 0: the new leader, which acknowledges itself. Bit 1: the former one.
+        for (unsigned informed = 0; informed < 1U << n; ++informed) {
+            // It informed itself; the former leader, once informed, leads no more.
+            if (!(informed & 1U) || (informed & 2U)) continue;
+            LeadershipProof proof(timings(), n);
             proof.begin(start);
             for (unsigned i = 2; i < n; ++i)
-                if (told >> i & 1U) proof.acknowledged(std::to_string(i));
-            if (!proof.known_to_enough()) continue;
-            for (unsigned vouch = 0; vouch < 1U << n; ++vouch) {
-                if (!(vouch & 2U)) continue;
-                LeadershipProof former(times(), n);
+                if (informed >> i & 1U) proof.record_acknowledgement(std::to_string(i));
+            if (!proof.acknowledged_by_quorum()) continue;
+            for (unsigned confirming = 0; confirming < 1U << n; ++confirming) {
+                if (!(confirming & 2U)) continue;
+                LeadershipProof former(timings(), n);
                 former.begin(start);
                 for (unsigned i = 0; i < n; ++i)
-                    if (i != 1 && (vouch >> i & 1U)) former.vouched(std::to_string(i), start);
+                    if (i != 1 && (confirming >> i & 1U))
+                        former.record_confirmation(std::to_string(i), start);
                 if (!former.may_renew(start - 300s, start)) continue;
-                EXPECT_NE(told & vouch, 0U) << n << " controllers, " << told << ", " << vouch;
+                EXPECT_NE(informed & confirming, 0U)
+                    << n << " controllers, " << informed << ", " << confirming;
             }
         }
     }
 }
 
-// And no more are asked for than that: the end of one of three keeps no cancellation back.
-TEST(LeadershipProof, OneOfThreeMayBeGone) {
-    LeadershipProof proof(times(), 3);
+// And no more are asked for than that: the loss of one of three delays no cancellation.
+TEST(LeadershipProof, QuorumOfThreeToleratesTheLossOfOne) {
+    LeadershipProof proof(timings(), 3);
     proof.begin(start);
-    EXPECT_FALSE(proof.known_to_enough());
-    proof.acknowledged("c");
-    EXPECT_TRUE(proof.known_to_enough());
-}
-
-TEST(CancellationReplica, RenewsForItsBoundAfterACompleteWord) {
-    CancellationReplica last(times(), 3);
-    EXPECT_FALSE(last.may_renew(start)) << "nobody has said anything";
-    last.told({2s, 0s, true, {}}, start);
-    const auto until = core::later(start - 2s, renewal_bound(times()));
-    EXPECT_TRUE(last.may_renew(until));
-    EXPECT_FALSE(last.may_renew(until + 1ms));
-    // A word that is older takes nothing back.
-    last.told({60s, 0s, true, {}}, start + 1s);
-    EXPECT_TRUE(last.may_renew(until));
-}
-
-// Where machines have not shown the token, a former controller's cancellations may be among them.
-TEST(CancellationReplica, AnIncompleteWordStopsButDoesNotRenew) {
-    CancellationReplica last(times(), 3);
-    last.told({0s, 0s, false, {"job-1"}}, start);
-    EXPECT_FALSE(last.may_renew(start));
-    EXPECT_EQ(last.stops(running("job-1"), start).size(), 1U);
-}
-
-TEST(CancellationReplica, StopsWhatRunsOfCancelledJobsAtOnceAndForgetsThemInTime) {
-    CancellationReplica last(times(), 3);
-    last.told({0s, 0s, true, {"job-1"}}, start);
-    last.told({0s, 0s, true, {}}, start + 1s);  // settled, as far as the acting one knows
-    const auto stops = last.stops(running("job-1"), start + 10s);
+    EXPECT_FALSE(proof.acknowledged_by_quorum());
+
+    proof.record_acknowledgement("c");
+
+    EXPECT_TRUE(proof.acknowledged_by_quorum());
+}
+
+TEST(CancellationReplica, RenewsForItsBoundAfterACompleteSnapshot) {
+    CancellationReplica replica(timings(), 3);
+    EXPECT_FALSE(replica.may_renew(start)) << "no snapshot yet";
+
+    replica.apply_leader_snapshot(complete_snapshot(2s), start);
+
+    const auto until = core::later(start - 2s, renewal_bound(timings()));
+    EXPECT_TRUE(replica.may_renew(until));
+    EXPECT_FALSE(replica.may_renew(until + 1ms));
+    // An older snapshot takes nothing back.
+    replica.apply_leader_snapshot(complete_snapshot(60s), start + 1s);
+    EXPECT_TRUE(replica.may_renew(until));
+}
+
+// Where machines have not shown the fencing token, a former leader's cancellations may be among
+// them.
+TEST(CancellationReplica, AnIncompleteSnapshotStopsTasksButDoesNotRenew) {
+    CancellationReplica replica(timings(), 3);
+
+    replica.apply_leader_snapshot(incomplete_snapshot({"job-1"}), start);
+
+    EXPECT_FALSE(replica.may_renew(start));
+    EXPECT_EQ(replica.stop_commands(heartbeat_with_tasks_of("job-1"), start).size(), 1U);
+}
+
+TEST(CancellationReplica, StopsRunningTasksOfCancelledJobsAtOnceAndForgetsThemInTime) {
+    CancellationReplica replica(timings(), 3);
+    replica.apply_leader_snapshot(complete_snapshot(0s, {"job-1"}), start);
+    // Over, as far as the leader knows.
+    replica.apply_leader_snapshot(complete_snapshot(0s), start + 1s);
+
+    const auto stops = replica.stop_commands(heartbeat_with_tasks_of("job-1"), start + 10s);
+
     ASSERT_EQ(stops.size(), 1U);
     EXPECT_EQ(stops[0].verb, core::TaskCommand::Verb::stop);
     EXPECT_EQ(stops[0].index, 0U);
     EXPECT_EQ(stops[0].attempt, 7U);
     EXPECT_EQ(stops[0].grace, 0s);
-    EXPECT_TRUE(last.stops(running("job-2"), start).empty());
-    EXPECT_TRUE(last.stops(running("job-1"), start + 101s).empty());
+    EXPECT_TRUE(replica.stop_commands(heartbeat_with_tasks_of("job-2"), start).empty());
+    EXPECT_TRUE(replica.stop_commands(heartbeat_with_tasks_of("job-1"), start + 101s).empty());
 }
 
-wire::peer::CancellationSnapshot remembering(core::Seconds memory,
-                                             std::vector<std::string> jobs = {}) {
-    return {0s, std::chrono::duration_cast<std::chrono::milliseconds>(memory), true,
-            std::move(jobs)};
+// With the leader lost in an outage: two of three remember together what was confirmed.
+TEST(CancellationReplica, AMajorityThatRemembersReplacesALostLeader) {
+    CancellationReplica replica(timings(), 3);
+    replica.begin(start);
+    const auto late = start + 200s;
+    EXPECT_FALSE(replica.may_renew(late));
+
+    replica.apply_follower_snapshot("c", follower_snapshot(40s), late);
+    EXPECT_FALSE(replica.may_renew(late)) << "a cancellation may be older than its memory";
+    replica.apply_follower_snapshot("c", follower_snapshot(60s, {"job-1"}), late);
+
+    EXPECT_TRUE(replica.may_renew(late));
+    EXPECT_EQ(replica.stop_commands(heartbeat_with_tasks_of("job-1"), late).size(), 1U);
+    EXPECT_TRUE(replica.snapshot(late).cancelled.empty())
+        << "passed on, it would never be forgotten";
+    EXPECT_FALSE(replica.may_renew(late + 30s));
 }
 
-// With the one that acted lost in an outage: two of three remember together what was confirmed.
-TEST(CancellationReplica, AMajorityThatRemembersStandsForTheOneThatActed) {
-    CancellationReplica last(times(), 3);
-    last.begin(start);
-    const auto late = start + 200s;
-    EXPECT_FALSE(last.may_renew(late));
-    last.answered("c", remembering(40s), late);
-    EXPECT_FALSE(last.may_renew(late)) << "a cancellation may be older than its memory";
-    last.answered("c", remembering(60s, {"job-1"}), late);
-    EXPECT_TRUE(last.may_renew(late));
-    EXPECT_EQ(last.stops(running("job-1"), late).size(), 1U);
-    EXPECT_TRUE(last.word(late).cancelled.empty()) << "told on, it would never be forgotten";
-    EXPECT_FALSE(last.may_renew(late + 30s));
-}
-
-TEST(CancellationReplica, OneThatHasJustBegunRemembersNothing) {
-    CancellationReplica last(times(), 3);
-    last.answered("c", remembering(60s), start);
-    EXPECT_FALSE(last.may_renew(start)) << "has not read the view";
-    last.begin(start);
-    last.answered("c", remembering(60s), start + 10s);
-    EXPECT_FALSE(last.may_renew(start + 10s));
-    last.answered("c", remembering(60s), start + 60s);
-    EXPECT_TRUE(last.may_renew(start + 60s));
+TEST(CancellationReplica, AControllerThatHasJustStartedRemembersNothing) {
+    CancellationReplica replica(timings(), 3);
+    replica.apply_follower_snapshot("c", follower_snapshot(60s), start);
+    EXPECT_FALSE(replica.may_renew(start)) << "has not read the leadership record";
+
+    replica.begin(start);
+    replica.apply_follower_snapshot("c", follower_snapshot(60s), start + 10s);
+    EXPECT_FALSE(replica.may_renew(start + 10s));
+    replica.apply_follower_snapshot("c", follower_snapshot(60s), start + 60s);
+    EXPECT_TRUE(replica.may_renew(start + 60s));
 }
 
 TEST(CancellationReplica, TwoOfFiveAreNoMajority) {
-    CancellationReplica last(times(), 5);
-    last.begin(start - 100s);
-    last.answered("c", remembering(60s), start);
-    EXPECT_FALSE(last.may_renew(start));
-    last.answered("d", remembering(60s), start);
-    EXPECT_TRUE(last.may_renew(start));
+    CancellationReplica replica(timings(), 5);
+    replica.begin(start - 100s);
+
+    replica.apply_follower_snapshot("c", follower_snapshot(60s), start);
+    EXPECT_FALSE(replica.may_renew(start));
+    replica.apply_follower_snapshot("d", follower_snapshot(60s), start);
+    EXPECT_TRUE(replica.may_renew(start));
 }
 
-TEST(CancellationReplica, TellsForAWhileWhatItWasTold) {
-    CancellationReplica last(times(), 3);
-    last.begin(start);
-    last.cancelled("job-1", start);
-    EXPECT_EQ(last.word(start + 60s).cancelled, std::vector<std::string>{"job-1"});
-    EXPECT_EQ(last.word(start + 60s).memory, 60s);
-    EXPECT_TRUE(last.word(start + 101s).cancelled.empty());
+TEST(CancellationReplica, PassesRecordedCancellationsOnUntilTheyAreForgotten) {
+    CancellationReplica replica(timings(), 3);
+    replica.begin(start);
+
+    replica.record_cancellation("job-1", start);
+
+    EXPECT_EQ(replica.snapshot(start + 60s).cancelled, std::vector<std::string>{"job-1"});
+    EXPECT_EQ(replica.snapshot(start + 60s).memory, 60s);
+    EXPECT_TRUE(replica.snapshot(start + 101s).cancelled.empty());
 }
 
-// For every number of controllers: with the one that confirmed lost, any majority of the others has
-// one that was told; and no more than that are waited for.
+// For every number of controllers: with the leader that confirmed lost, any majority of the others
+// has one that was informed; and no more than that are waited for.
 TEST(LeadershipProof, ConfirmsWhatEveryMajorityOfTheOthersKnows) {
     for (std::size_t n = 1; n <= 7; ++n) {
-        std::set<std::string> all;
-        for (std::size_t i = 1; i < n; ++i) all.insert(std::to_string(i));
-        LeadershipProof proof(times(), n);
+        std::set<std::string> peers;
+        for (std::size_t i = 1; i < n; ++i) peers.insert(std::to_string(i));
+        LeadershipProof proof(timings(), n);
         proof.begin(start);
-        std::set<std::string> told;
-        for (const auto& name : all) {
-            const bool lacks = all.size() - told.size() >= peers_of_a_majority(n) + 1;
-            EXPECT_EQ(proof.may_confirm(told, all, start), !lacks) << told.size() << " of " << n;
-            told.insert(name);
+        std::set<std::string> informed;
+        for (const auto& name : peers) {
+            const bool some_majority_lacks_it =
+                peers.size() - informed.size() >= peers_of_a_majority(n) + 1;
+            EXPECT_EQ(proof.may_confirm(informed, peers, start), !some_majority_lacks_it)
+                << informed.size() << " of " << n;
+            informed.insert(name);
         }
-        EXPECT_TRUE(proof.may_confirm(told, all, start));
+        EXPECT_TRUE(proof.may_confirm(informed, peers, start));
     }
 }
 
-// Those that cannot be told hold a cancellation back for a bounded time.
-TEST(LeadershipProof, ConfirmsOnceWhoWasNotToldCanRenewNothing) {
-    LeadershipProof proof(times(), 3);
+// Peers that cannot be informed delay a cancellation for a bounded time.
+TEST(LeadershipProof, ConfirmsOnceUninformedPeersCanRenewNothing) {
+    LeadershipProof proof(timings(), 3);
     proof.begin(start);
-    const std::set<std::string> all{"b", "c"};
-    EXPECT_FALSE(proof.may_confirm({}, all, start + 10s));
-    proof.gave_word("b", start + 10s);
-    EXPECT_FALSE(proof.may_confirm({}, all, start + 25s));
-    EXPECT_TRUE(proof.may_confirm({}, all, start + 40s));
+    const std::set<std::string> peers{"b", "c"};
+    EXPECT_FALSE(proof.may_confirm({}, peers, start + 10s));
+
+    proof.record_snapshot_sent("b", start + 10s);
+
+    EXPECT_FALSE(proof.may_confirm({}, peers, start + 25s));
+    EXPECT_TRUE(proof.may_confirm({}, peers, start + 40s));
 }
 
 }  // namespace
--- a/tests/standin/leader_change_simulation.cpp
+++ b/tests/standin/leader_change_simulation.cpp
@@ -132,7 +132,8 @@
         const auto term = leader_state.controller->term();
         if (!replication.replicate_cancellation(job, term)) return 503;
         if (!leader_state.controller || leader_state.controller->term() != term) return 503;
-        if (leader_state.controller->in_doubt(job) && !replication.known_to_enough()) return 503;
+        if (leader_state.controller->in_doubt(job) && !replication.acknowledged_by_quorum())
+            return 503;
         leader_state.controller->cancel(job, timeline_.now());
         leader_state.want_write();
         const auto until = core::later(timeline_.now(), record_limit);
@@ -179,7 +180,7 @@
         timeline_.wait(Seconds{0.05 * world_.below_one()});
         for (;;) {
             look = std::make_shared<Timeline::Signal>();
-            elector.round(true);
+            elector.round();
             timeline_.wait_for(look, Seconds{0.45 + 0.1 * world_.below_one()});
         }
     }
@@ -188,7 +189,8 @@
     void announce() {
         for (;;) {
             replication.round();
-            if (elector.status().leading && desk.unreached()) elector.yield_leadership();
+            if (elector.status().leading && desk.unreached())
+                elector.yield_leadership();
             timeline_.wait(Seconds{1});
         }
     }
