--- a/src/agents/agent_command_client.cpp
+++ b/src/agents/agent_command_client.cpp
@@ -1,7 +1,10 @@
 #include "agents/agent_command_client.hpp"
 
 #include <algorithm>
+#include <chrono>
+#include <optional>
 #include <thread>
+#include <utility>
 
 #include "io/http_client.hpp"
 #include "wire/workers.hpp"
@@ -13,52 +16,67 @@
 constexpr int threads = 16;
 constexpr std::chrono::milliseconds call_limit{1500};
 
+struct CallResult {
+    core::CommandOutcome outcome = core::CommandOutcome::unknown;
+    std::optional<core::Heartbeat> heartbeat;  // what the agent answered
+};
+
+CallResult call_agent(const core::DirectCommand& command) {
+    CallResult result;
+    const auto endpoint = io::parse_endpoint(command.address);
+    if (!endpoint) return result;
+    io::HttpClient client(*endpoint, call_limit);
+    const auto answer = client.post(wire::path::direct_orders, wire::direct_commands_body(command));
+    if (!answer) return result;
+    if (answer->status == 200 || answer->status == 409)
+        result.heartbeat = wire::parse_heartbeat(answer->body);
+    if (answer->status == 409) result.outcome = core::CommandOutcome::rejected;
+    if (answer->status == 200 && result.heartbeat) result.outcome = core::CommandOutcome::executed;
+    return result;
+}
+
+// Whether there may be something to place once this command was called: a machine that has just
+// been fenced, or answered under another agent epoch, has work; one that was ordered to stop tasks
+// may have capacity.
+bool may_allow_placement(const core::DirectCommand& command) {
+    return command.commands.empty() ||
+           std::any_of(command.commands.begin(), command.commands.end(),
+                       [](const auto& task) { return task.verb == core::TaskCommand::Verb::stop; });
+}
+
 }  // namespace
 
 void AgentCommandClient::start() {
     for (int i = 0; i < threads; ++i) std::thread([this] { run(); }).detach();
 }
 
-void AgentCommandClient::send(core::DirectCommand call) {
+void AgentCommandClient::send(core::DirectCommand command) {
     const std::lock_guard lock(mutex_);
-    queue_.push_back(std::move(call));
+    queue_.push_back(std::move(command));
     wake_.notify_one();
 }
 
+core::DirectCommand AgentCommandClient::next_command() {
+    std::unique_lock lock(mutex_);
+    wake_.wait(lock, [&] { return !queue_.empty(); });
+    auto command = std::move(queue_.front());
+    queue_.pop_front();
+    return command;
+}
+
 void AgentCommandClient::run() {
     using Clock = std::chrono::steady_clock;
     for (;;) {
-        core::DirectCommand call;
-        {
-            std::unique_lock lock(mutex_);
-            wake_.wait(lock, [&] { return !queue_.empty(); });
-            call = std::move(queue_.front());
-            queue_.pop_front();
-        }
-        auto outcome = core::CommandOutcome::unknown;
-        std::optional<core::Heartbeat> heartbeat;
-        if (const auto endpoint = io::parse_endpoint(call.address)) {
-            io::HttpClient client(*endpoint, call_limit);
-            if (const auto answer =
-                    client.post(wire::path::direct_orders, wire::direct_commands_body(call))) {
-                if (answer->status == 200 || answer->status == 409)
-                    heartbeat = wire::parse_heartbeat(answer->body);
-                if (answer->status == 409) outcome = core::CommandOutcome::rejected;
-                if (answer->status == 200 && heartbeat) outcome = core::CommandOutcome::executed;
-            }
-        }
+        const auto call = next_command();
+        const auto [outcome, heartbeat] = call_agent(call);
+
         const std::lock_guard lock(leader_state_.mutex);
         if (!leader_state_.controller || leader_state_.controller->term() != call.fencing_token)
             continue;
         leader_state_.controller->called(call, outcome, heartbeat ? &*heartbeat : nullptr,
                                          Clock::now());
         leader_state_.want_write();
-        // A machine that has just been confirmed, or answered under another session, has work; one
-        // that was told to stop tasks may have room.
-        const bool stops = std::any_of(
-            call.commands.begin(), call.commands.end(),
-            [](const auto& command) { return command.verb == core::TaskCommand::Verb::stop; });
-        if (call.commands.empty() || stops) leader_state_.want_place();
+        if (may_allow_placement(call)) leader_state_.want_place();
     }
 }
 
--- a/src/agents/heartbeat_handler.cpp
+++ b/src/agents/heartbeat_handler.cpp
@@ -1,9 +1,9 @@
 #include "agents/heartbeat_handler.hpp"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
+#include <utility>
 
+#include "io/log.hpp"
 #include "wire/users.hpp"
 #include "wire/workers.hpp"
 
@@ -18,24 +18,25 @@
         case core::TaskCommand::Verb::stop:
             return "stop";
         case core::TaskCommand::Verb::acknowledge:
-            return "forget";
+            return "acknowledge";
     }
     return "";
 }
 
-void log_answer(const core::Heartbeat& heartbeat, const core::AgentCounters& before,
-                const core::AgentCounters& after, const std::vector<core::TaskCommand>& commands) {
+void log_response(const core::Heartbeat& heartbeat, const core::AgentCounters& before,
+                  const core::AgentCounters& after,
+                  const std::vector<core::TaskCommand>& commands) {
     if (after.lost != before.lost || after.errors != before.errors)
-        spdlog::debug("{}: lost {}, errors {}", heartbeat.machine, after.lost - before.lost,
-                      after.errors - before.errors);
+        io::log::debug("heartbeat_showed_failures", "machine", heartbeat.machine, "lost",
+                       after.lost - before.lost, "errors", after.errors - before.errors);
     for (const auto& command : commands)
-        spdlog::debug("{}: {} {}/{} try {}", heartbeat.machine, name_of(command.verb), command.job,
-                      command.index, command.attempt);
+        io::log::debug("task_command", "machine", heartbeat.machine, "verb", name_of(command.verb),
+                       "job", command.job, "task", command.index, "attempt", command.attempt);
 }
 
 }  // namespace
 
-HeartbeatHandler::HeartbeatHandler(const core::AgentTimings& workers,
+HeartbeatHandler::HeartbeatHandler(const core::AgentTimings& timings,
                                    state::LeaderState& leader_state,
                                    leadership::Leadership& leadership, leadership::Peers& peers,
                                    leadership::CancellationReplication& replication,
@@ -45,38 +46,38 @@
       peers_(peers),
       replication_(replication),
       clock_(std::move(clock)),
-      routing_(workers.heartbeat),
-      reachability_(workers.heartbeat) {}
+      routing_(timings.heartbeat),
+      reachability_(timings.heartbeat) {}
 
 void HeartbeatHandler::on_elected() {
     const std::lock_guard lock(mutex_);
     reachability_.begin(clock_());
 }
 
-bool HeartbeatHandler::unreached() {
+bool HeartbeatHandler::detect_inbound_unreachable() {
     const std::lock_guard lock(mutex_);
-    if (!reachability_.lost(clock_())) return false;
+    if (!reachability_.inbound_unreachable(clock_())) return false;
     reachability_.begin(clock_());
     return true;
 }
 
-wire::Response HeartbeatHandler::heartbeat(const std::string& body, RequestOrigin from) {
+wire::Response HeartbeatHandler::heartbeat(const std::string& body, RequestOrigin origin) {
     const auto heartbeat = wire::parse_heartbeat(body);
     if (!heartbeat) return {400, 0, wire::error_body("malformed report")};
     const auto status = leadership_.status();
     if (!status.leading) {
-        if (from == RequestOrigin::peer) return wire::unavailable("another controller acts");
+        if (origin == RequestOrigin::peer) return wire::unavailable("another controller acts");
         return at_follower(*heartbeat, body, status);
     }
-    // Guard: a worker that knows a newer token would drop the answer and stay with this node
-    // until its lease is gone.
+    // An agent that knows a newer fencing token would drop the response and stay with this
+    // controller until its lease has expired.
     if (heartbeat->fencing_token > status.term) {
         leadership_.observe_newer_term(heartbeat->fencing_token);
         return wire::unavailable("another controller acts");
     }
     {
         const std::lock_guard lock(mutex_);
-        reachability_.record_heartbeat(heartbeat->machine, from == RequestOrigin::peer, clock_());
+        reachability_.record_heartbeat(heartbeat->machine, origin, clock_());
     }
     return at_leader(*heartbeat, status.term);
 }
@@ -84,19 +85,19 @@
 wire::Response HeartbeatHandler::at_leader(const core::Heartbeat& heartbeat, std::uint64_t term) {
     const std::lock_guard lock(leader_state_.mutex);
     if (!replication_.may_renew()) return wire::unavailable("another controller may act");
-    // Guard against ran_cancelled: before the records are loaded this controller knows no more than
-    // a follower, and renews no more than one. Each of several leaders that follow each other
-    // quickly used to give every machine another lease, and none of them a stop.
+    // Rule kept: ran_cancelled. Before the records are loaded this controller knows no more than a
+    // follower, and renews no more than one. Each of several leaders that followed each other
+    // quickly used to give every machine another lease, and none of them a stop command.
     if (!leader_state_.controller) return renew_without_leader(heartbeat, term);
     const auto before = leader_state_.controller->counts();
     const auto answer = leader_state_.controller->heartbeat(heartbeat, clock_());
     if (!answer.entitled) return wire::unavailable("another controller acts");
-    log_answer(heartbeat, before, leader_state_.controller->counts(), answer.commands);
+    log_response(heartbeat, before, leader_state_.controller->counts(), answer.commands);
     leader_state_.want_write();
-    const bool changed =
+    const bool frees_capacity =
         std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
-                    [](const auto& t) { return t.state == core::TaskState::exited; });
-    if (changed) leader_state_.want_place();
+                    [](const auto& task) { return task.state == core::TaskState::exited; });
+    if (frees_capacity) leader_state_.want_place();
     return {200, 0, wire::commands_body(answer.fencing_token, answer.commands)};
 }
 
@@ -108,13 +109,13 @@
     if (status.leader.empty() || heartbeat.fencing_token > status.term)
         return {503, 0, wire::error_body("no view")};
     const bool knows_leader = heartbeat.fencing_token == status.term;
-    bool there = false;
+    bool redirect = false;
     {
         const std::lock_guard lock(mutex_);
-        there = routing_.send_there(heartbeat.machine, knows_leader, clock_());
+        redirect = routing_.should_redirect(heartbeat.machine, knows_leader, clock_());
     }
-    if (there) return {421, 0, wire::redirect_body(status.leader)};
-    // The worker cannot reach the leader: its report is handed on.
+    if (redirect) return {421, 0, wire::redirect_body(status.leader)};
+    // The agent cannot reach the leader: its heartbeat is forwarded.
     if (auto response = leadership::forward_to_leader(wire::peer::Op::heartbeat, heartbeat.machine,
                                                       body, leadership_, peers_);
         response && response->status == 200)
@@ -122,16 +123,16 @@
     return renew_without_leader(heartbeat, status.term);
 }
 
-// The token is still the last one known, so the worker may go on; whoever acts next confirms it.
-// Guard against ran_cancelled: with nobody who acts such answers kept tasks alive, for as long as
-// an outage lasted, whose users had been told that they are cancelled.
+// The fencing token is still the last one known, so the agent may go on; the next leader fences it.
+// Rule kept: ran_cancelled. Without a leader such responses kept tasks running, for as long as an
+// outage lasted, whose cancellation had been confirmed to their users.
 wire::Response HeartbeatHandler::renew_without_leader(const core::Heartbeat& heartbeat,
                                                       std::uint64_t term) {
     const auto stops = replication_.renew_without_leader(heartbeat);
     if (!stops) return wire::unavailable("nobody is known to act");
     for (const auto& command : *stops)
-        spdlog::info("{}: stop {}/{}, cancelled, with nobody at hand who acts", heartbeat.machine,
-                     command.job, command.index);
+        io::log::info("cancelled_task_stopped_without_leader", "machine", heartbeat.machine, "job",
+                      command.job, "task", command.index);
     return {200, 0, wire::commands_body(term, *stops)};
 }
 
--- a/src/daemon/service.cpp
+++ b/src/daemon/service.cpp
@@ -474,7 +474,7 @@
 }
 
 void Service::yield_if_unreachable() {
-    if (!heartbeats_.unreached()) return;
+    if (!heartbeats_.detect_inbound_unreachable()) return;
     spdlog::info("workers reach siblings only; another controller may act");
     elector_.yield_leadership();
 }
--- a/tests/standin/leader_change_simulation.cpp
+++ b/tests/standin/leader_change_simulation.cpp
@@ -189,7 +189,7 @@
     void announce() {
         for (;;) {
             replication.round();
-            if (elector.status().leading && desk.unreached())
+            if (elector.status().leading && desk.detect_inbound_unreachable())
                 elector.yield_leadership();
             timeline_.wait(Seconds{1});
         }
