--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -1,10 +1,13 @@
 #include "cloud/cloud_client.hpp"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
+#include <optional>
+#include <string>
 #include <thread>
+#include <utility>
+#include <vector>
 
+#include "io/log.hpp"
 #include "wire/cloud.hpp"
 
 namespace bendspindle::cloud {
@@ -18,34 +21,35 @@
 constexpr milliseconds call_limit{4000};
 constexpr seconds catalog_every{60};
 constexpr seconds catalog_retry{2};
-constexpr seconds least_list_every{5};
+constexpr seconds min_list_every{5};
 constexpr milliseconds plan_every{1000};
-constexpr unsigned list_page = 500;
-// A rental whose answer was lost is repeated under its name this often; a repeat of a granted one
-// gets the same machines.
-constexpr int rent_tries = 4;
+constexpr unsigned list_page_size = 500;
+// A request whose answer was lost is sent again under its name, this often in all; the cloud
+// answers a repeat of a granted one with the same machines.
+constexpr int scale_out_attempts = 4;
+// All controllers read the catalog, the leader does the rest; a tenth of the rate is left free.
+constexpr double spacing_factor = 1.1;
 
 }  // namespace
 
 CloudClient::CloudClient(state::LeaderState& leader_state, const config::Settings& settings,
-                         std::function<bool()> may_act)
+                         std::function<bool()> lease_valid)
     : leader_state_(leader_state),
       client_(settings.cloud, call_limit),
-      may_act_(std::move(may_act)) {
-    // All controllers read the catalog, one does the rest; a tenth is left free.
-    spacing_ = duration_cast<Clock::duration>(
-        std::chrono::duration<double>(1.1 / settings.cloud_requests_per_s));
+      lease_valid_(std::move(lease_valid)) {
+    call_spacing_ = duration_cast<Clock::duration>(
+        std::chrono::duration<double>(spacing_factor / settings.cloud_requests_per_s));
     list_every_ = std::max(duration_cast<Clock::duration>(settings.list_lag),
-                           duration_cast<Clock::duration>(least_list_every));
+                           duration_cast<Clock::duration>(min_list_every));
 }
 
-void CloudClient::pace() {
+void CloudClient::wait_for_rate_limit() {
     std::this_thread::sleep_until(next_call_);
-    next_call_ = Clock::now() + spacing_;
+    next_call_ = Clock::now() + call_spacing_;
 }
 
-void CloudClient::read_catalog() {
-    pace();
+void CloudClient::refresh_catalog() {
+    wait_for_rate_limit();
     const auto answer = client_.get(wire::path::catalog);
     auto types = answer && answer->status == 200 ? wire::parse_catalog(answer->body) : std::nullopt;
     if (!types || types->empty()) {
@@ -56,13 +60,13 @@
     leader_state_.learn_types(std::move(*types));
 }
 
-void CloudClient::read_list() {
+void CloudClient::report_listed_machines() {
     std::vector<core::ListedMachine> machines;
     std::string after;
     const auto asked = Clock::now();
     for (;;) {
-        pace();
-        const auto answer = client_.get(wire::path::list(after, list_page));
+        wait_for_rate_limit();
+        const auto answer = client_.get(wire::path::list(after, list_page_size));
         if (!answer || answer->status != 200) return;
         auto list = wire::parse_list(answer->body);
         if (!list) return;
@@ -74,10 +78,10 @@
     if (leader_state_.controller) leader_state_.controller->listed(machines, asked, Clock::now());
 }
 
-void CloudClient::rent(const core::ScaleOutRequest& request, std::uint64_t term) {
-    for (int i = 0; i < rent_tries; ++i) {
-        pace();
-        if (!may_act_()) return;
+void CloudClient::scale_out(const core::ScaleOutRequest& request, std::uint64_t term) {
+    for (int i = 0; i < scale_out_attempts; ++i) {
+        wait_for_rate_limit();
+        if (!lease_valid_()) return;
         const auto answer = client_.post(wire::path::machines, wire::rent_body(request));
         std::vector<std::string> names;
         if (answer && answer->status == 200) {
@@ -87,8 +91,9 @@
         } else if (!answer || answer->status != 503) {
             continue;
         }
-        spdlog::info("rent {} {} in {}{}: {} of {}", request.request, request.type, request.zone,
-                     request.spot ? " (spot)" : "", names.size(), request.count);
+        io::log::info("scaled_out", "request", request.request, "type", request.type, "zone",
+                      request.zone, "spot", request.spot, "granted", names.size(), "requested",
+                      request.count);
         const std::lock_guard lock(leader_state_.mutex);
         if (leader_state_.controller && leader_state_.controller->term() == term)
             leader_state_.controller->scaled_out(request, names, Clock::now());
@@ -97,16 +102,16 @@
     }
 }
 
-void CloudClient::release(const core::ScalingPlan& plan, std::uint64_t term) {
-    pace();
-    // Guard against machines returned under another controller: one that had stood still for 20 s
-    // went on with the plan it had in hand and returned 63 that its successor had work on. What
-    // must be gone because it was cancelled goes even so.
-    const auto& names = may_act_() ? plan.release : plan.overdue;
+void CloudClient::scale_in(const core::ScalingPlan& plan, std::uint64_t term) {
+    wait_for_rate_limit();
+    // A leader that had stalled for 20 s went on with the plan it had made before and released 63
+    // machines that the next leader had tasks on (CloudClient.ReleasesNothingWithoutAValidLease).
+    // Machines that must go because tasks on them are cancelled go even so.
+    const auto& names = lease_valid_() ? plan.release : plan.overdue;
     if (names.empty()) return;
     const auto answer = client_.post(wire::path::release, wire::release_body(names));
     if (!answer || answer->status != 200) return;
-    spdlog::info("released {} machines, first {}", names.size(), names.front());
+    io::log::info("scaled_in", "machines", names.size(), "first", names.front());
     const std::lock_guard lock(leader_state_.mutex);
     if (!leader_state_.controller || leader_state_.controller->term() != term) return;
     leader_state_.controller->released(names);
@@ -116,7 +121,7 @@
 
 void CloudClient::run() {
     for (;;) {
-        if (Clock::now() >= next_catalog_) read_catalog();
+        if (Clock::now() >= next_catalog_) refresh_catalog();
         core::ScalingPlan plan;
         std::uint64_t term = 0;
         bool leading = false;
@@ -128,12 +133,12 @@
                 plan = leader_state_.controller->plan_scaling(Clock::now());
             }
         }
-        // What frees tasks for placing anew goes before what adds room.
-        if (!plan.release.empty()) release(plan, term);
-        for (const auto& request : plan.scale_out) rent(request, term);
+        // Releases free tasks for placement, so they go before what adds capacity.
+        if (!plan.release.empty()) scale_in(plan, term);
+        for (const auto& request : plan.scale_out) scale_out(request, term);
         if (leading && Clock::now() >= next_list_) {
             next_list_ = Clock::now() + list_every_;
-            read_list();
+            report_listed_machines();
         }
         std::this_thread::sleep_for(plan_every);
     }
--- a/tests/cloud_client_test.cpp
+++ b/tests/cloud_client_test.cpp
@@ -1,4 +1,4 @@
-// The dealings with the cloud of a controller that may have lost its right to them.
+// Calls of the cloud by a leader whose lease may have expired.
 #include "cloud/cloud_client.hpp"
 
 #include <gtest/gtest.h>
@@ -15,14 +15,15 @@
 using namespace std::chrono_literals;
 using Clock = std::chrono::steady_clock;
 
-// Lives as long as the process, as the thread that uses it does.
-struct Desk {
-    explicit Desk(int port) : cloud(port, {}), settings(settings_of(port)) {
+// A leader with one machine to be released. Kept until the process ends, as the thread is that uses
+// it.
+struct CloudClientFixture {
+    explicit CloudClientFixture(int port) : cloud(port, {}), settings(settings_of(port)) {
         core::Config config;
         config.zones = {"a"};
         config.teams = {{"red", {}, {}}};
         leader_state.install(std::make_unique<core::Controller>(config, 1), 1);
-        // Recorded by a former controller and silent for longer than a lease: it is to be returned.
+        // Recorded by a former leader and silent for longer than a lease: it is to be released.
         leader_state.controller->load_machine(
             {"m1", "127.0.0.1:1", "m4", "a", false, core::MachineStage::running, core::Seconds{0}},
             1, Clock::now() - 60s);
@@ -36,34 +37,34 @@
     standin::CloudAndWorkers cloud;
     config::Settings settings;
     state::LeaderState leader_state;
-    std::atomic<bool> may_act{false};
-    CloudClient desk{leader_state, settings, [this] { return may_act.load(); }};
+    std::atomic<bool> lease_valid{false};
+    CloudClient client{leader_state, settings, [this] { return lease_valid.load(); }};
 };
 
-// Guard: a controller that had stood still went on with the plan it had in hand and returned
-// machines that its successor had work on.
-TEST(CloudClient, ReturnsNothingWithoutAValidLease) {
-    auto& d = *new Desk(22000 + static_cast<int>(::getpid() % 1000));
-    std::thread([&d] { d.desk.run(); }).detach();
+// A leader that had stalled went on with the plan it had made before and released machines that the
+// next leader had tasks on.
+TEST(CloudClient, ReleasesNothingWithoutAValidLease) {
+    auto& fixture = *new CloudClientFixture(22000 + static_cast<int>(::getpid() % 1000));
+    std::thread([&fixture] { fixture.client.run(); }).detach();
     const auto until = Clock::now() + 3s;
     while (Clock::now() < until) {
         {
-            const std::lock_guard lock(d.leader_state.mutex);
-            d.leader_state.controller->cycle(Clock::now());
-            ASSERT_TRUE(d.leader_state.controller->machines().contains("m1"));
+            const std::lock_guard lock(fixture.leader_state.mutex);
+            fixture.leader_state.controller->cycle(Clock::now());
+            ASSERT_TRUE(fixture.leader_state.controller->machines().contains("m1"));
         }
         std::this_thread::sleep_for(50ms);
     }
-    d.may_act = true;
-    bool gone = false;
-    const auto latest = Clock::now() + 20s;
-    while (!gone && Clock::now() < latest) {
+    fixture.lease_valid = true;
+    bool released = false;
+    const auto deadline = Clock::now() + 20s;
+    while (!released && Clock::now() < deadline) {
         std::this_thread::sleep_for(50ms);
-        const std::lock_guard lock(d.leader_state.mutex);
-        d.leader_state.controller->cycle(Clock::now());
-        gone = !d.leader_state.controller->machines().contains("m1");
+        const std::lock_guard lock(fixture.leader_state.mutex);
+        fixture.leader_state.controller->cycle(Clock::now());
+        released = !fixture.leader_state.controller->machines().contains("m1");
     }
-    EXPECT_TRUE(gone);
+    EXPECT_TRUE(released);
 }
 
 }  // namespace
