--- a/src/wire/peer.hpp
+++ b/src/wire/peer.hpp
@@ -9,6 +9,8 @@
 #include <string_view>
 #include <vector>
 
+#include "wire/http_status.hpp"
+
 namespace bendspindle::wire::peer {
 
 constexpr std::uint8_t version = 1;
@@ -48,7 +50,7 @@
 
 // u16 status, u16 retry-after seconds, u64 term, u32 body length, body.
 struct Answer {
-    std::uint16_t status = 503;
+    std::uint16_t status = http_status::service_unavailable;
     std::uint16_t retry_after = 0;
     std::uint64_t term = 0;
     std::string body;
--- a/src/wire/response.hpp
+++ b/src/wire/response.hpp
@@ -1,21 +1,23 @@
-// What a controller answers to a user, a worker or a peer, before it is put on the wire.
+/// What a controller answers to a user, an agent or a peer, before the daemon puts it on the wire.
 #pragma once
 
 #include <string>
 
+#include "wire/http_status.hpp"
 #include "wire/users.hpp"
 
 namespace bendspindle::wire {
 
+/// A status, a CBOR body, and what the `Retry-After` header says.
 struct Response {
-    int status = 503;
-    int retry_after = 0;  // seconds; 0: none
+    int status = http_status::service_unavailable;
+    int retry_after = 0;  ///< in seconds; 0: the header is left out
     std::string body;
 };
 
-// Not now: the same may be asked again after so many seconds, or of another controller.
-inline Response unavailable(const std::string& why, int retry_after = 1) {
-    return {503, retry_after, wire::error_body(why)};
+/// 503: the same may be asked again after `retry_after` seconds, or of another controller.
+[[nodiscard]] inline Response unavailable(const std::string& why, int retry_after = 1) {
+    return {http_status::service_unavailable, retry_after, wire::error_body(why)};
 }
 
 }  // namespace bendspindle::wire
