--- /dev/null
+++ b/src/config/core_config.hpp
@@ -0,0 +1,12 @@
+/// What the core is told of both files of settings.
+#pragma once
+
+#include "config/operator_settings.hpp"
+#include "config/platform_settings.hpp"
+#include "core/config.hpp"
+
+namespace bendspindle::config {
+
+[[nodiscard]] core::Config core_config(const Settings& settings, const OperatorSettings& own);
+
+}  // namespace bendspindle::config
--- /dev/null
+++ b/src/config/fair_share_settings.cpp
@@ -0,0 +1,59 @@
+#include "config/fair_share_settings.hpp"
+
+#include <algorithm>
+
+#include "config/s_expression.hpp"
+#include "config/settings_error.hpp"
+
+namespace bendspindle::config {
+
+namespace {
+
+// One entry of three words: (class NAME WEIGHT) or (team NAME WEIGHT).
+template <typename Weights>
+void read_weight(const std::string& file, const Entry& entry, Weights& weights) {
+    const auto field = entry[0] + " " + entry[1];
+    const auto weight = positive(file, field, entry[2]);
+    if (!weights.emplace(entry[1], weight).second)
+        throw SettingsError(file, field, "is given twice");
+}
+
+void require_team(const std::string& file, const std::string& name, const Settings& settings) {
+    if (std::none_of(settings.teams.begin(), settings.teams.end(),
+                     [&](const auto& team) { return team.name == name; }))
+        throw SettingsError(file, "there is no team " + name);
+}
+
+}  // namespace
+
+fair_share::FloorSettings load_fair_share_settings(const std::string& file,
+                                                   const Settings& settings) {
+    fair_share::FloorSettings floors;
+    if (file.empty()) {
+        // On a site of few machines a minimum share is less than one gang's size, and claims it
+        // whole: urgent gangs lost their machines to work that was served anyway
+        // (docs/admission.md).
+        floors.whole = 0;
+        return floors;
+    }
+    const auto read_entry = [&](const Entry& entry) {
+        if (entry.size() == 2 && entry[0] == "floors") {
+            floors.whole = non_negative(file, entry[0], entry[1]);
+            if (floors.whole > 1) throw SettingsError(file, entry[0], "must be at most 1");
+        } else if (entry.size() == 2 && entry[0] == "patience-s") {
+            floors.patience = core::Seconds(non_negative(file, entry[0], entry[1]));
+        } else if (entry.size() == 3 && entry[0] == "class") {
+            read_weight(file, entry, floors.class_weights);
+        } else if (entry.size() == 3 && entry[0] == "team") {
+            require_team(file, entry[1], settings);
+            read_weight(file, entry, floors.team_weights);
+        } else {
+            return false;
+        }
+        return true;
+    };
+    for_each_entry(file, "(NAME VALUE), (class NAME WEIGHT) or (team NAME WEIGHT)", read_entry);
+    return floors;
+}
+
+}  // namespace bendspindle::config
--- /dev/null
+++ b/src/config/s_expression.cpp
@@ -0,0 +1,73 @@
+#include "config/s_expression.hpp"
+
+#include <sfsexp/sexp.h>
+
+#include <cmath>
+#include <memory>
+#include <optional>
+#include <sstream>
+
+#include "config/settings_error.hpp"
+#include "config/text_file.hpp"
+
+namespace bendspindle::config {
+
+namespace {
+
+struct DestroyExpression {
+    void operator()(sexp_t* expression) const { destroy_sexp(expression); }
+};
+using Expression = std::unique_ptr<sexp_t, DestroyExpression>;
+
+// The library takes the first expression of a text and knows no comments.
+std::string without_comments(const std::string& text) {
+    std::istringstream lines(text);
+    std::string stripped;
+    for (std::string line; std::getline(lines, line);)
+        stripped += line.substr(0, line.find(';')) + "\n";
+    return stripped;
+}
+
+std::optional<Entry> read_entry(const sexp_t& expression) {
+    if (expression.ty != SEXP_LIST) return std::nullopt;
+    Entry entry;
+    for (const sexp_t* word = expression.list; word; word = word->next) {
+        if (word->ty != SEXP_VALUE) return std::nullopt;
+        entry.emplace_back(word->val);
+    }
+    return entry;
+}
+
+}  // namespace
+
+void for_each_entry(const std::string& file, const std::string& shape,
+                    const std::function<bool(const Entry&)>& accept) {
+    auto text = without_comments(read_text_file(file));
+    const Expression root(parse_sexp(text.data(), text.size()));
+    if (!root || root->ty != SEXP_LIST) throw SettingsError(file, "is not an S-expression list");
+    for (const sexp_t* expression = root->list; expression; expression = expression->next) {
+        const auto entry = read_entry(*expression);
+        if (!entry || !accept(*entry)) throw SettingsError(file, "an entry is not " + shape);
+    }
+}
+
+double non_negative(const std::string& file, const std::string& field, const std::string& value) {
+    std::size_t used = 0;
+    double number = -1;
+    try {
+        number = std::stod(value, &used);
+    } catch (const std::exception&) {
+        used = 0;
+    }
+    if (used != value.size() || !std::isfinite(number) || number < 0)
+        throw SettingsError(file, field, "must be a number from 0");
+    return number;
+}
+
+double positive(const std::string& file, const std::string& field, const std::string& value) {
+    const auto number = non_negative(file, field, value);
+    if (number <= 0) throw SettingsError(file, field, "must be a number above 0");
+    return number;
+}
+
+}  // namespace bendspindle::config
--- a/src/daemon/client.cpp
+++ b/src/daemon/client.cpp
@@ -4,7 +4,7 @@
 #include <iostream>
 #include <iterator>
 
-#include "config/settings.hpp"
+#include "config/settings_error.hpp"
 #include "io/http_client.hpp"
 #include "wire/cbor.hpp"
 #include "wire/users.hpp"
@@ -17,7 +17,7 @@
 
 io::HttpClient connect(const std::string& endpoint) {
     const auto parsed = io::parse_endpoint(endpoint);
-    if (!parsed) throw config::SettingsError("--to: is not HOST:PORT");
+    if (!parsed) throw config::SettingsError("--to", "is not HOST:PORT");
     return io::HttpClient(*parsed, answer_limit);
 }
 
@@ -37,10 +37,10 @@
 
 int submit_file(const std::string& endpoint, const std::string& file) {
     std::ifstream in(file, std::ios::binary);
-    if (!in) throw config::SettingsError(file + ": cannot be read");
+    if (!in) throw config::SettingsError(file, "cannot be read");
     const std::string text{std::istreambuf_iterator<char>(in), {}};
     const auto job = wire::Value::parse(text, nullptr, false);
-    if (job.is_discarded()) throw config::SettingsError(file + ": is not JSON");
+    if (job.is_discarded()) throw config::SettingsError(file, "is not JSON");
     return show(connect(endpoint).post(wire::path::work, wire::to_cbor(job)));
 }
 
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -60,7 +60,7 @@
           const std::string& admission_file) {
     auto settings = config::load_settings(config);
     auto own = config::load_operator_settings(operator_file);
-    own.floors = config::load_admission(admission_file, settings);
+    own.floors = config::load_fair_share_settings(admission_file, settings);
     fit_small_machines(own);
     set_up_logging(own);
     daemon::catch_stop_signals();
@@ -103,7 +103,7 @@
     if (*check_verb) {
         const auto settings = config::load_settings(config);
         config::load_operator_settings(operator_file);
-        config::load_admission(admission_file, settings);
+        config::load_fair_share_settings(admission_file, settings);
         std::cout << "settings are good\n";
         return 0;
     }
--- a/tests/settings_golden_test.cpp
+++ b/tests/settings_golden_test.cpp
@@ -66,7 +66,7 @@
     std::string admission_line(const std::string& text) {
         Settings settings;
         settings.teams.push_back({"red", {}, {}});
-        return line_of(text, [&] { load_admission(file_, settings); });
+        return line_of(text, [&] { load_fair_share_settings(file_, settings); });
     }
 
     std::string file_;
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -117,13 +117,13 @@
     settings.teams.push_back({"red", {}, {}});
     const auto complaint_of = [&](const std::string& text) {
         try {
-            load_admission(write(text), settings);
+            load_fair_share_settings(write(text), settings);
         } catch (const SettingsError& e) {
             return std::string(e.what());
         }
         return std::string();
     };
-    const auto floors = load_admission(
+    const auto floors = load_fair_share_settings(
         write("((floors 0.4) (patience-s 20) (class scan 2) (team red 3)) ; all"), settings);
     EXPECT_DOUBLE_EQ(floors.whole, 0.4);
     EXPECT_DOUBLE_EQ(floors.patience.count(), 20);
@@ -143,7 +143,7 @@
 
 TEST_F(SettingsFile, TheShippedAdmissionFileHoldsTheDefaults) {
     const auto floors =
-        load_admission(std::string(SOURCE_DIR) + "/deploy/admission.sexp", Settings{});
+        load_fair_share_settings(std::string(SOURCE_DIR) + "/deploy/admission.sexp", Settings{});
     const fair_share::FloorSettings defaults;
     EXPECT_DOUBLE_EQ(floors.whole, defaults.whole);
     EXPECT_DOUBLE_EQ(floors.patience.count(), defaults.patience.count());
@@ -151,7 +151,7 @@
 }
 
 TEST_F(SettingsFile, WithoutAnAdmissionFileThereAreNoFloors) {
-    EXPECT_DOUBLE_EQ(load_admission("", Settings{}).whole, 0);
+    EXPECT_DOUBLE_EQ(load_fair_share_settings("", Settings{}).whole, 0);
 }
 
 TEST(MostConnections, WhatIsScarceDecides) {
@@ -160,13 +160,13 @@
     own.threads = 500;
     settings.most_sockets = 2000;
     settings.memory_mb = 200;
-    EXPECT_EQ(most_connections(settings, own), 500U);
+    EXPECT_EQ(max_connections(settings, own), 500U);
     settings.most_sockets = 300;
-    EXPECT_EQ(most_connections(settings, own), 200U);
+    EXPECT_EQ(max_connections(settings, own), 200U);
     settings.memory_mb = 16;
-    EXPECT_EQ(most_connections(settings, own), 102U);
+    EXPECT_EQ(max_connections(settings, own), 102U);
     settings.memory_mb = 0.1;
-    EXPECT_EQ(most_connections(settings, own), 1U);
+    EXPECT_EQ(max_connections(settings, own), 1U);
 }
 
 }  // namespace
