--- a/scale/fleet.cpp
+++ b/scale/fleet.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 
 #include "wire/cbor.hpp"
-#include "wire/workers.hpp"
+#include "wire/agent_messages.hpp"
 
 namespace bendspindle::scale {
 
@@ -253,7 +253,7 @@
     ++counts_.direct;
     member.worker.advance(now);
     int status = 200;
-    if (request.target == wire::path::direct_orders) {
+    if (request.target == wire::path::direct_commands) {
         const auto commands = parse_commands(request.body);
         status = commands ? member.worker.direct(*commands, now) : 400;
     } else if (request.target != wire::path::inspect) {
--- a/scale/users.cpp
+++ b/scale/users.cpp
@@ -6,7 +6,7 @@
 #include <cmath>
 
 #include "wire/cbor.hpp"
-#include "wire/users.hpp"
+#include "wire/user_messages.hpp"
 
 namespace bendspindle::scale {
 
--- a/src/agents/agent_command_client.cpp
+++ b/src/agents/agent_command_client.cpp
@@ -4,7 +4,7 @@
 #include <thread>
 
 #include "io/http_client.hpp"
-#include "wire/workers.hpp"
+#include "wire/agent_messages.hpp"
 
 namespace bendspindle::agents {
 
@@ -40,7 +40,7 @@
         if (const auto endpoint = io::parse_endpoint(call.address)) {
             io::HttpClient client(*endpoint, call_limit);
             if (const auto answer =
-                    client.post(wire::path::direct_orders, wire::direct_commands_body(call))) {
+                    client.post(wire::path::direct_commands, wire::direct_commands_body(call))) {
                 if (answer->status == 200 || answer->status == 409)
                     heartbeat = wire::parse_heartbeat(answer->body);
                 if (answer->status == 409) outcome = core::CommandOutcome::rejected;
--- a/src/agents/heartbeat_handler.cpp
+++ b/src/agents/heartbeat_handler.cpp
@@ -4,8 +4,8 @@
 
 #include <algorithm>
 
-#include "wire/users.hpp"
-#include "wire/workers.hpp"
+#include "wire/agent_messages.hpp"
+#include "wire/user_messages.hpp"
 
 namespace bendspindle::agents {
 
--- a/src/daemon/client.cpp
+++ b/src/daemon/client.cpp
@@ -7,7 +7,7 @@
 #include "config/settings_error.hpp"
 #include "io/http_client.hpp"
 #include "wire/cbor.hpp"
-#include "wire/users.hpp"
+#include "wire/user_messages.hpp"
 
 namespace bendspindle::daemon {
 
--- a/src/daemon/service.cpp
+++ b/src/daemon/service.cpp
@@ -7,9 +7,9 @@
 #include <thread>
 
 #include "daemon/stop_signal.hpp"
+#include "wire/agent_messages.hpp"
 #include "wire/records.hpp"
-#include "wire/users.hpp"
-#include "wire/workers.hpp"
+#include "wire/user_messages.hpp"
 
 namespace bendspindle::daemon {
 
--- a/src/state/key_value_store.cpp
+++ b/src/state/key_value_store.cpp
@@ -86,8 +86,8 @@
 
 CasResult HttpKeyValueStore::compare_and_swap(const std::vector<wire::Condition>& conditions,
                                               const std::vector<wire::Operation>& operations) {
-    const auto answer =
-        client_.post(wire::path::cas_result, wire::compare_and_swap_body(conditions, operations));
+    const auto answer = client_.post(wire::path::compare_and_swap,
+                                     wire::compare_and_swap_body(conditions, operations));
     CasResult out;
     out.outcome = status_of(answer);
     if (out.outcome != StoreStatus::ok && out.outcome != StoreStatus::conflict) return out;
--- a/src/state/key_value_store.hpp
+++ b/src/state/key_value_store.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "io/http_client.hpp"
-#include "wire/state_service.hpp"
+#include "wire/key_value_store.hpp"
 
 namespace bendspindle::state {
 
--- a/src/wire/workers.cpp
+++ b/src/wire/agent_messages.cpp
@@ -1,4 +1,17 @@
-#include "wire/workers.hpp"
+// The wire's fields and the code's terms:
+//   checkin (path)   heartbeat                    orders          task commands
+//   spindle          machine                      addr            address of its agent
+//   build, hall      machine type, zone           loaners         spot
+//   shift            agent epoch                  tick            sequence of the heartbeat
+//   baton            fencing token                foreman         leader
+//   warning_s        notice of a preemption by the cloud
+//   piece            task: the job's id, a slash and its index
+//   try              attempt                      stored          a checkpoint was saved
+//   stage            task state: pulling = fetching, flushing = saving
+//   cause            exit cause: halted = stopped, full = no_room, no_such = unknown
+//   verb             start, stop, reap = acknowledge
+//   wind_down_s      grace of a stop
+#include "wire/agent_messages.hpp"
 
 #include <tuple>
 #include <utility>
@@ -37,10 +50,10 @@
 std::pair<std::string, std::uint32_t> parse_task_name(const std::string& name) {
     const auto slash = name.rfind('/');
     if (slash == std::string::npos || slash + 1 == name.size() || name.size() - slash > 8)
-        throw Malformed{"piece has no number"};
+        throw Malformed("piece", "has no number");
     std::uint32_t index = 0;
     for (std::size_t i = slash + 1; i < name.size(); ++i) {
-        if (name[i] < '0' || name[i] > '9') throw Malformed{"piece has no number"};
+        if (name[i] < '0' || name[i] > '9') throw Malformed("piece", "has no number");
         index = index * 10 + static_cast<std::uint32_t>(name[i] - '0');
     }
     return {name.substr(0, slash), index};
@@ -65,11 +78,11 @@
     return map;
 }
 
-core::Heartbeat read_report(const Fields& fields) {
+core::Heartbeat read_heartbeat(const Fields& fields) {
     core::Heartbeat heartbeat;
     heartbeat.machine = fields.text("spindle");
     if (heartbeat.machine.empty() || heartbeat.machine.find_first_of(" /") != std::string::npos)
-        throw Malformed{"spindle is not a name"};
+        throw Malformed("spindle", "is not a name");
     heartbeat.address = fields.text("addr");
     heartbeat.type = fields.text("build");
     heartbeat.zone = fields.text("hall");
@@ -98,7 +111,7 @@
 }  // namespace
 
 std::optional<core::Heartbeat> parse_heartbeat(std::string_view body) {
-    return parse_fields(body, read_report);
+    return parse_fields(body, read_heartbeat);
 }
 
 std::string heartbeat_body(const core::Heartbeat& heartbeat) {
--- a/src/wire/workers.hpp
+++ b/src/wire/agent_messages.hpp
@@ -1,4 +1,6 @@
-// Reports of workers, and the orders that go to them: in answers to reports and in direct calls.
+/// Heartbeats of agents, and the task commands that go to them: in answers to heartbeats and in
+/// direct calls. Called by `agents` alone; the map from the wire's fields to the code's terms is in
+/// agent_messages.cpp.
 #pragma once
 
 #include <cstdint>
@@ -14,17 +16,19 @@
 
 namespace path {
 inline constexpr const char* heartbeat = "/checkin";
-inline constexpr const char* direct_orders = "/orders";
+inline constexpr const char* direct_commands = "/orders";
 inline constexpr const char* inspect = "/inspect";
 }  // namespace path
 
+/// nullopt if anything in it is malformed.
 std::optional<core::Heartbeat> parse_heartbeat(std::string_view body);
 std::string heartbeat_body(const core::Heartbeat& heartbeat);
+/// The answer to a heartbeat.
 std::string commands_body(std::uint64_t fencing_token,
                           const std::vector<core::TaskCommand>& commands);
-// Orders of a direct call; only these name the worker's session.
+/// The commands of a direct call; only these carry the agent epoch that they are meant for.
 std::string direct_commands_body(const core::DirectCommand& call);
-// Names the controller that takes reports; an empty name: none is known.
+/// Names the controller that takes heartbeats; an empty name: none is known.
 std::string redirect_body(const std::string& node);
 
 }  // namespace bendspindle::wire
--- a/src/wire/cloud.cpp
+++ b/src/wire/cloud.cpp
@@ -1,3 +1,9 @@
+// The wire's fields and the code's terms:
+//   sku, build       machine type                 uid, spindles   machine name, machines
+//   cores, cards     cpus, gpus                   hall, halls     zone, zones
+//   ram_gb           memory_gb                    loaners         spot
+//   rate             price per hour                startup_s       boot time
+//   hire             id of the scale-out request  truncated       pages follow
 #include "wire/cloud.hpp"
 
 #include "wire/fields.hpp"
--- a/src/wire/cloud.hpp
+++ b/src/wire/cloud.hpp
@@ -1,4 +1,5 @@
-// Calls to the cloud: its catalog, the list of machines, renting and releasing them.
+/// Calls to the cloud: its catalog, the list of machines, scaling out and in. Called by `cloud`
+/// alone; the map from the wire's fields to the code's terms is in cloud.cpp.
 #pragma once
 
 #include <optional>
@@ -14,19 +15,21 @@
 inline constexpr const char* catalog = "/catalog";
 inline constexpr const char* machines = "/machines";
 inline constexpr const char* release = "/machines/release";
+/// The path of one page: at most `limit` machines, those after the name `after`.
 std::string list(const std::string& after, unsigned limit);
 }  // namespace path
 
+/// Readers return nullopt for a malformed body.
 std::optional<std::vector<core::MachineType>> parse_catalog(std::string_view body);
 std::string rent_body(const core::ScaleOutRequest& request);
-// The names of the machines that were rented.
+/// The names of the new machines; there may be fewer of them than were asked for.
 std::optional<std::vector<std::string>> parse_rented(std::string_view body);
 std::string release_body(const std::vector<std::string>& names);
 
-// One page of the machine list.
+/// One page of the machine list.
 struct MachineList {
     std::vector<core::ListedMachine> machines;
-    bool more = false;
+    bool more = false;  ///< pages follow
 };
 std::optional<MachineList> parse_list(std::string_view body);
 
--- a/src/wire/job_spec.cpp
+++ b/src/wire/job_spec.cpp
@@ -1,3 +1,14 @@
+// The wire's fields and the code's terms:
+//   uid              job id                       lane, crew      job class, team
+//   shape            kind: batch = job array, ensemble = gang, daemon = service
+//   urgency          priority: critical = production, urgent = high, standard = normal
+//   pieces           number of tasks              cores, cards    cpus, gpus of a task
+//   ram_gb           memory_gb                    blueprint       image
+//   pull_gb          image_gb                     builds          machine types it can run on
+//   hall             zone                         together        one_zone
+//   apart            spread over machines         loaners         spot machines will do
+//   expect_s         estimated run time           notch_s         checkpoint interval
+//   stow_s           time to save a checkpoint    due_s           deadline
 #include "wire/job_spec.hpp"
 
 #include <algorithm>
@@ -26,11 +37,11 @@
     std::vector<std::string> types;
     std::size_t length = 0;
     for (const auto& type : fields.list("builds")) {
-        if (!type.is_string()) throw Malformed{"builds holds what is not text"};
+        if (!type.is_string()) throw Malformed("builds", "holds what is not text");
         types.push_back(type.get<std::string>());
         length += types.back().size() + 3;
-        // Guard against a record too large for the state service: it could never be written.
-        if (length > most_types_text) throw Malformed{"builds is too long"};
+        // A record that is too large for the key-value store could never be written.
+        if (length > most_types_text) throw Malformed("builds", "is too long");
     }
     return types;
 }
@@ -51,13 +62,13 @@
     const Fields fields(map);
     core::JobSpec spec;
     spec.id = fields.text("uid");
-    if (!valid_job_id(spec.id)) throw Malformed{"uid has not the form of a job id"};
+    if (!valid_job_id(spec.id)) throw Malformed("uid", "has not the form of a job id");
     spec.job_class = fields.text("lane");
     spec.team = fields.text("crew");
     spec.kind = fields.named(kind_names, "shape");
     spec.priority = fields.named(priority_names, "urgency");
     const auto tasks = fields.count("pieces");
-    if (tasks < 1 || tasks > most_tasks) throw Malformed{"pieces is out of range"};
+    if (tasks < 1 || tasks > most_tasks) throw Malformed("pieces", "is out of range");
     spec.tasks = static_cast<std::uint32_t>(tasks);
     spec.need = {fields.amount("cores"), fields.amount("cards"), fields.amount("ram_gb")};
     spec.image = fields.text("blueprint");
--- a/src/wire/state_service.cpp
+++ b/src/wire/key_value_store.cpp
@@ -1,4 +1,12 @@
-#include "wire/state_service.hpp"
+// The wire's fields and the code's terms:
+//   path, v          key, value                   stamp           mod_revision of a key
+//   ledger_tick      revision of the store        loan            lease
+//   pairs, events    entries                      truncated       pages follow
+//   if, apply        conditions and operations of a compare-and-swap (path /txn)
+//   failed           keys whose conditions did not hold
+//   life_ms          time to live of a lease      touch (path)    keep a lease alive
+//   starts, since    prefix; the key, or of a watch the revision, to begin after
+#include "wire/key_value_store.hpp"
 
 #include <utility>
 
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr std::uint8_t answer_kind = 0x80;
-// Of a word's list, so that it and the answer's own fields fit into a frame.
-constexpr std::size_t most_word = most_payload - 64;
+// In bytes, of a snapshot's list, so that it and the answer's own fields fit into a frame.
+constexpr std::size_t most_snapshot = most_payload - 64;
 
 template <typename Int>
 void put(std::string& out, Int value) {
@@ -64,32 +64,32 @@
 
 }  // namespace
 
-std::string pack(const Request& r) {
+std::string pack(const Request& request) {
     std::string payload;
-    put<std::uint64_t>(payload, r.term);
-    put<std::uint16_t>(payload, static_cast<std::uint16_t>(r.id.size()));
-    payload += r.id;
-    put<std::uint32_t>(payload, static_cast<std::uint32_t>(r.body.size()));
-    payload += r.body;
-    return frame(static_cast<std::uint8_t>(r.op), payload);
+    put<std::uint64_t>(payload, request.term);
+    put<std::uint16_t>(payload, static_cast<std::uint16_t>(request.id.size()));
+    payload += request.id;
+    put<std::uint32_t>(payload, static_cast<std::uint32_t>(request.body.size()));
+    payload += request.body;
+    return frame(static_cast<std::uint8_t>(request.op), payload);
 }
 
-std::string pack(const Answer& a) {
+std::string pack(const Answer& answer) {
     std::string payload;
-    put<std::uint16_t>(payload, a.status);
-    put<std::uint16_t>(payload, a.retry_after);
-    put<std::uint64_t>(payload, a.term);
-    put<std::uint32_t>(payload, static_cast<std::uint32_t>(a.body.size()));
-    payload += a.body;
+    put<std::uint16_t>(payload, answer.status);
+    put<std::uint16_t>(payload, answer.retry_after);
+    put<std::uint64_t>(payload, answer.term);
+    put<std::uint32_t>(payload, static_cast<std::uint32_t>(answer.body.size()));
+    payload += answer.body;
     return frame(answer_kind, payload);
 }
 
-std::string pack(const CancellationSnapshot& w) {
+std::string pack(const CancellationSnapshot& snapshot) {
     std::string list;
     std::uint32_t number = 0;
-    bool complete = w.complete;
-    for (const auto& id : w.cancelled) {
-        if (list.size() + sizeof(std::uint16_t) + id.size() > most_word) {
+    bool complete = snapshot.complete;
+    for (const auto& id : snapshot.cancelled) {
+        if (list.size() + sizeof(std::uint16_t) + id.size() > most_snapshot) {
             complete = false;
             break;
         }
@@ -103,8 +103,8 @@
         put<std::uint32_t>(to, static_cast<std::uint32_t>(bounded));
     };
     std::string out;
-    put_time(out, w.age);
-    put_time(out, w.memory);
+    put_time(out, snapshot.age);
+    put_time(out, snapshot.memory);
     put<std::uint8_t>(out, complete ? 1 : 0);
     put<std::uint32_t>(out, number);
     return out += list;
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -1,3 +1,9 @@
+// The stored fields and the code's terms:
+//   epoch, steward   term, leader (of the record `view`)
+//   returns          consecutive restarts of the leader
+//   final            terminal state               home            controller that admitted the job
+//   attempt          last attempt given to a task
+//   done             completed tasks: ranges, or a bitmap
 #include "wire/records.hpp"
 
 #include <algorithm>
@@ -44,9 +50,9 @@
     return out;
 }
 
-// A done-set is ranges while they are few, else a hexadecimal bitmap: 100,000 tasks done in any
-// pattern still fit the state service's values.
-Value done_set_value(const std::vector<core::Range>& ranges, std::uint32_t tasks) {
+// Completed tasks are ranges while they are few, else a hexadecimal bitmap: 100,000 tasks in any
+// pattern still fit the values of the key-value store.
+Value completed_tasks_value(const std::vector<core::Range>& ranges, std::uint32_t tasks) {
     if (ranges.size() > most_ranges) return bitmap_of(ranges, tasks);
     Value out = Value::array();
     for (const auto& [first, last] : ranges) {
@@ -56,7 +62,7 @@
     return out;
 }
 
-std::vector<core::Range> read_done_set(const Value& value) {
+std::vector<core::Range> read_completed_tasks(const Value& value) {
     if (value.is_string()) return ranges_of(value.get_ref<const std::string&>());
     std::vector<core::Range> out;
     if (!value.is_array()) return out;
@@ -76,7 +82,7 @@
         {"home", record.home},
         {"submitted_ms", duration_cast<milliseconds>(record.submitted.time_since_epoch()).count()},
         {"attempt", record.last_attempt},
-        {"done", done_set_value(record.done, record.spec.tasks)}};
+        {"done", completed_tasks_value(record.done, record.spec.tasks)}};
 }
 
 std::optional<core::JobRecord> parse_job_record(const Value& value) {
@@ -87,7 +93,7 @@
         record.home = fields.text("home");
         record.submitted = core::WallTime(std::chrono::milliseconds(fields.count("submitted_ms")));
         record.last_attempt = fields.count("attempt");
-        record.done = read_done_set(fields.value("done"));
+        record.done = read_completed_tasks(fields.value("done"));
         return record;
     });
 }
@@ -122,19 +128,20 @@
     });
 }
 
-Value leadership_record(const LeadershipRecord& view) {
-    return Value{
-        {"epoch", view.term}, {"steward", view.leader}, {"returns", view.consecutive_restarts}};
+Value leadership_record(const LeadershipRecord& record) {
+    return Value{{"epoch", record.term},
+                 {"steward", record.leader},
+                 {"returns", record.consecutive_restarts}};
 }
 
 std::optional<LeadershipRecord> parse_leadership_record(const Value& value) {
     return if_well_formed([&] {
         const Fields fields(value);
-        // Views of older programs do not count returns.
-        const auto returns = fields.has("returns") ? fields.count("returns") : 0;
+        // Records of older programs do not count them.
+        const auto restarts = fields.has("returns") ? fields.count("returns") : 0;
         return LeadershipRecord{
             fields.count("epoch"), fields.text("steward"),
-            static_cast<std::uint32_t>(std::min(returns, max_consecutive_restarts))};
+            static_cast<std::uint32_t>(std::min(restarts, max_consecutive_restarts))};
     });
 }
 
--- a/src/wire/response.hpp
+++ b/src/wire/response.hpp
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "wire/http_status.hpp"
-#include "wire/users.hpp"
+#include "wire/user_messages.hpp"
 
 namespace bendspindle::wire {
 
--- a/src/wire/users.cpp
+++ b/src/wire/user_messages.cpp
@@ -1,4 +1,8 @@
-#include "wire/users.hpp"
+// The wire's fields and the code's terms (a job's own fields: job_spec.cpp):
+//   uid              job id
+//   stage            state: queued, running; terminal: done, aborted = cancelled
+//   done, running    number of completed tasks, of running tasks
+#include "wire/user_messages.hpp"
 
 #include "wire/fields.hpp"
 
@@ -23,7 +27,7 @@
     try {
         return {read_job_spec(parse_map(body)), {}};
     } catch (const Malformed& malformed) {
-        return {std::nullopt, malformed.what};
+        return {std::nullopt, malformed.what()};
     }
 }
 
--- a/src/wire/users.hpp
+++ b/src/wire/user_messages.hpp
@@ -1,4 +1,6 @@
-// Requests of users and their answers: submitting a job, asking for its status, cancelling it.
+/// Requests of users and their answers: submitting a job, asking for its status, cancelling it.
+/// Called by the API's handlers and by the command line; the map from the wire's fields to the
+/// code's terms is in user_messages.cpp.
 #pragma once
 
 #include <optional>
@@ -16,17 +18,18 @@
 inline constexpr const char* health = "/healthz";
 }  // namespace path
 
-// The job, or the reason why the request is malformed.
+/// The job, or the reason why the request is malformed.
 struct ParsedJob {
     std::optional<core::JobSpec> job;
     std::string error;
 };
 ParsedJob parse_job(std::string_view body);
 std::string job_body(const core::JobSpec& spec);
+/// The counts of tasks are left out where only the state is known.
 std::string status_body(const std::string& id, const core::JobStatus& status, bool with_counts);
-// The final state that such a body tells, if it tells one.
+/// The terminal state in such a body; nullopt if the job is open or the body malformed.
 std::optional<core::TerminalState> terminal_state_in_status(std::string_view body);
-// Why a request was refused: the body of every error, a worker's too.
+/// Why a request was refused: the body of every error, also of those that agents get.
 std::string error_body(const std::string& why);
 
 }  // namespace bendspindle::wire
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,13 +1,15 @@
+// The codecs of src/wire: round trips, what is refused and by which field, and bytes that are
+// broken.
 #include <gtest/gtest.h>
 
 #include <random>
 
+#include "wire/agent_messages.hpp"
 #include "wire/cloud.hpp"
+#include "wire/key_value_store.hpp"
 #include "wire/peer.hpp"
 #include "wire/records.hpp"
-#include "wire/state_service.hpp"
-#include "wire/users.hpp"
-#include "wire/workers.hpp"
+#include "wire/user_messages.hpp"
 
 namespace bendspindle::wire {
 namespace {
@@ -33,7 +35,7 @@
     return s;
 }
 
-core::Heartbeat sample_report() {
+core::Heartbeat sample_heartbeat() {
     core::Heartbeat r;
     r.machine = "n-000231";
     r.address = "10.1.0.232:9000";
@@ -54,10 +56,10 @@
     EXPECT_EQ(job_body(*parsed.job), job_body(sample_spec()));
 }
 
-TEST(Codec, ReportRoundTrip) {
-    const auto parsed = parse_heartbeat(heartbeat_body(sample_report()));
+TEST(Codec, HeartbeatRoundTrip) {
+    const auto parsed = parse_heartbeat(heartbeat_body(sample_heartbeat()));
     ASSERT_TRUE(parsed);
-    EXPECT_EQ(heartbeat_body(*parsed), heartbeat_body(sample_report()));
+    EXPECT_EQ(heartbeat_body(*parsed), heartbeat_body(sample_heartbeat()));
     EXPECT_EQ(parsed->tasks[1].attempt, (1ULL << 40) + 5);
 }
 
@@ -128,7 +130,7 @@
 TEST(Codec, BrokenBytesNeverCrash) {
     std::mt19937 random(20261201);
     const std::vector<std::string> good{
-        job_body(sample_spec()), heartbeat_body(sample_report()),
+        job_body(sample_spec()), heartbeat_body(sample_heartbeat()),
         commands_body(3, {{core::TaskCommand::Verb::stop, "job-1", 0, 4, core::Seconds(3)}}),
         compare_and_swap_body({{"a", 1}}, {{"b", Value{{"x", 1}}, 7}})};
     const auto feed = [](const std::string& bytes) {
@@ -216,24 +218,24 @@
 }
 
 TEST(Peer, AWordIsPackedAndUnpacked) {
-    const peer::CancellationSnapshot word{std::chrono::milliseconds(1500),
-                                          std::chrono::milliseconds(70'000),
-                                          true,
-                                          {"job-1", "job-22"}};
-    const auto back = peer::parse_cancellation_snapshot(peer::pack(word));
+    const peer::CancellationSnapshot snapshot{std::chrono::milliseconds(1500),
+                                              std::chrono::milliseconds(70'000),
+                                              true,
+                                              {"job-1", "job-22"}};
+    const auto back = peer::parse_cancellation_snapshot(peer::pack(snapshot));
     ASSERT_TRUE(back);
-    EXPECT_EQ(back->age, word.age);
-    EXPECT_EQ(back->memory, word.memory);
+    EXPECT_EQ(back->age, snapshot.age);
+    EXPECT_EQ(back->memory, snapshot.memory);
     EXPECT_TRUE(back->complete);
-    EXPECT_EQ(back->cancelled, word.cancelled);
+    EXPECT_EQ(back->cancelled, snapshot.cancelled);
 }
 
 // One that leaves jobs out must not count as complete: what it leaves out would be kept alive.
-TEST(Peer, AWordThatDoesNotFitIsNotComplete) {
-    peer::CancellationSnapshot word;
-    word.complete = true;
-    for (int i = 0; i < 3000; ++i) word.cancelled.emplace_back(94, 'x');
-    const auto body = peer::pack(word);
+TEST(Peer, ASnapshotThatDoesNotFitIsNotComplete) {
+    peer::CancellationSnapshot snapshot;
+    snapshot.complete = true;
+    for (int i = 0; i < 3000; ++i) snapshot.cancelled.emplace_back(94, 'x');
+    const auto body = peer::pack(snapshot);
     EXPECT_LE(peer::pack(peer::Answer{200, 0, 1, body}).size(),
               peer::most_payload + peer::header_size);
     const auto back = peer::parse_cancellation_snapshot(body);
@@ -242,7 +244,7 @@
     EXPECT_GT(back->cancelled.size(), 1000U);
 }
 
-TEST(Peer, AMalformedWordIsNone) {
+TEST(Peer, AMalformedSnapshotIsNone) {
     const auto good = peer::pack(peer::CancellationSnapshot{
         std::chrono::milliseconds(1), std::chrono::milliseconds(2), true, {"job-1"}});
     ASSERT_TRUE(peer::parse_cancellation_snapshot(good));
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -6,12 +6,12 @@
 #include <tuple>
 
 #include "state/state_writer.hpp"
+#include "wire/agent_messages.hpp"
 #include "wire/cloud.hpp"
+#include "wire/key_value_store.hpp"
 #include "wire/peer.hpp"
 #include "wire/records.hpp"
-#include "wire/state_service.hpp"
-#include "wire/users.hpp"
-#include "wire/workers.hpp"
+#include "wire/user_messages.hpp"
 
 namespace bendspindle::wire {
 namespace {
@@ -326,14 +326,14 @@
     EXPECT_STREQ(path::work, "/work");
     EXPECT_STREQ(path::health, "/healthz");
     EXPECT_STREQ(path::heartbeat, "/checkin");
-    EXPECT_STREQ(path::direct_orders, "/orders");
+    EXPECT_STREQ(path::direct_commands, "/orders");
     EXPECT_STREQ(path::inspect, "/inspect");
     EXPECT_STREQ(path::catalog, "/catalog");
     EXPECT_STREQ(path::machines, "/machines");
     EXPECT_STREQ(path::release, "/machines/release");
     EXPECT_EQ(path::list("", 50), "/machines?page=50");
     EXPECT_EQ(path::list("n-1", 50), "/machines?page=50&since=n-1");
-    EXPECT_STREQ(path::cas_result, "/txn");
+    EXPECT_STREQ(path::compare_and_swap, "/txn");
     EXPECT_STREQ(path::leases, "/leases");
     EXPECT_EQ(path::key("view"), "/kv/view");
     EXPECT_EQ(path::range("job/", "", 9), "/kv?starts=job/&page=9");
--- a/tests/leader_changes_test.cpp
+++ b/tests/leader_changes_test.cpp
@@ -11,7 +11,7 @@
 #include <iostream>
 
 #include "standin/leader_change_simulation.hpp"
-#include "wire/workers.hpp"
+#include "wire/agent_messages.hpp"
 
 namespace bendspindle {
 namespace {
--- a/tests/lone_controller_test.cpp
+++ b/tests/lone_controller_test.cpp
@@ -11,8 +11,8 @@
 #include <fstream>
 #include <thread>
 
-#include "wire/users.hpp"
-#include "wire/workers.hpp"
+#include "wire/agent_messages.hpp"
+#include "wire/user_messages.hpp"
 
 namespace bendspindle {
 namespace {
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -5,8 +5,8 @@
 
 #include "standin/controllers.hpp"
 #include "standin/services.hpp"
-#include "wire/users.hpp"
-#include "wire/workers.hpp"
+#include "wire/agent_messages.hpp"
+#include "wire/user_messages.hpp"
 
 namespace bendspindle {
 namespace {
--- a/tests/read_consistency_test.cpp
+++ b/tests/read_consistency_test.cpp
@@ -11,7 +11,7 @@
 #include "standin/controllers.hpp"
 #include "standin/history.hpp"
 #include "standin/services.hpp"
-#include "wire/users.hpp"
+#include "wire/user_messages.hpp"
 
 namespace bendspindle {
 namespace {
--- a/tests/standin/leader_change_simulation.cpp
+++ b/tests/standin/leader_change_simulation.cpp
@@ -7,8 +7,8 @@
 #include <stdexcept>
 
 #include "state/state_writer.hpp"
+#include "wire/agent_messages.hpp"
 #include "wire/records.hpp"
-#include "wire/workers.hpp"
 
 namespace bendspindle::standin {
 
--- a/tests/standin/services.cpp
+++ b/tests/standin/services.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "wire/workers.hpp"
+#include "wire/agent_messages.hpp"
 
 namespace bendspindle::standin {
 
