--- a/src/daemon/service.cpp
+++ b/src/daemon/service.cpp
@@ -542,8 +542,8 @@
 
 bool Service::run() {
     io::HttpServerLimits limits;
-    limits.most_threads = config::max_connections(settings_, own_);
-    limits.most_waiting = config::max_waiting_connections(settings_, limits.most_threads);
+    limits.max_threads = config::max_connections(settings_, own_);
+    limits.max_waiting = config::max_waiting_connections(settings_, limits.max_threads);
     io::HttpServer http(limits);
     const auto send = [](const wire::Response& answer, httplib::Response& response) {
         response.status = answer.status;
--- a/src/io/clock.hpp
+++ b/src/io/clock.hpp
@@ -1,4 +1,5 @@
-// The steady clock as a function, so that a simulation can lead the time.
+/// The steady clock as a function, so that a simulation can pass its own time in. Taken by each
+/// class outside the core that compares times.
 #pragma once
 
 #include <functional>
--- a/src/io/http_client.hpp
+++ b/src/io/http_client.hpp
@@ -1,4 +1,6 @@
-// Calls to the cloud and the state service, with short limits on every step: a cut hangs.
+/// Calls to the cloud, the key-value store and agents, with short limits on every step: across a
+/// network partition a call hangs. Owned by each of its callers (`state`, `cloud`, `agents`, the
+/// command line); any thread may call.
 #pragma once
 
 #include <chrono>
@@ -14,18 +16,20 @@
 
 namespace bendspindle::io {
 
+/// HOST:PORT, as settings and agents give it.
 struct Endpoint {
     std::string host;
     int port = 0;
 };
-std::optional<Endpoint> parse_endpoint(const std::string& text);
+/// nullopt without a host or with a port that is none.
+[[nodiscard]] std::optional<Endpoint> parse_endpoint(const std::string& text);
 
 struct HttpAnswer {
     int status = 0;
     std::string body;
 };
 
-// Kept-alive connections to one host; each call borrows one, so calls do not wait for each other.
+/// Kept-alive connections to one host; each call borrows one, so calls do not wait for each other.
 class HttpClient {
   public:
     HttpClient(Endpoint endpoint, std::chrono::milliseconds timeout);
@@ -33,7 +37,8 @@
     HttpClient(const HttpClient&) = delete;
     HttpClient& operator=(const HttpClient&) = delete;
 
-    // nullopt: no answer; the request may have been executed, or may still be.
+    /// nullopt: no answer; the request may have been executed, or may still be. `extra` is added
+    /// to the time limit, for a call that the server holds open.
     std::optional<HttpAnswer> get(const std::string& path,
                                   std::chrono::milliseconds extra = std::chrono::milliseconds{0});
     std::optional<HttpAnswer> post(const std::string& path, const std::string& body);
@@ -45,7 +50,7 @@
 
     Endpoint endpoint_;
     std::chrono::milliseconds timeout_;
-    std::mutex mutex_;
+    std::mutex mutex_;  // guards idle_
     std::vector<std::unique_ptr<httplib::Client>> idle_;
 };
 
--- a/src/io/http_server.hpp
+++ b/src/io/http_server.hpp
@@ -1,60 +1,35 @@
-// cpp-httplib's server with a connection loop that sleeps in poll instead of waking to look.
+/// cpp-httplib's server with bounded threads and a connection loop that sleeps in poll(2) instead
+/// of waking to look. The daemon sets its routes and runs it.
 #pragma once
 
 #include <httplib.h>
 
 #include <atomic>
 #include <chrono>
-#include <condition_variable>
-#include <deque>
-#include <functional>
-#include <mutex>
+#include <cstddef>
 #include <string>
 
 namespace bendspindle::io {
 
 struct HttpServerLimits {
-    std::size_t most_threads = 200;
-    std::size_t most_waiting = 400;  // accepted, and no thread free
-    std::chrono::seconds idle{75};
-    std::chrono::seconds message{5};
-    std::size_t most_body = 64 * 1024;
-};
-
-// Threads are made when a connection finds none idle, up to a limit, and stay.
-class GrowingPool : public httplib::TaskQueue {
-  public:
-    GrowingPool(std::size_t most, std::size_t most_waiting)
-        : most_(most), most_waiting_(most_waiting) {}
-    // Whether what runs now on this thread is to be turned away, since too much waits already.
-    static bool turning_away() { return turning_away_; }
-    void enqueue(std::function<void()> fn) override;
-    void shutdown() override;
-
-  private:
-    void work();
-
-    std::mutex mutex_;
-    std::condition_variable wake_;
-    std::condition_variable ended_;
-    std::deque<std::function<void()>> queue_;
-    static thread_local bool turning_away_;
-    std::size_t most_;
-    std::size_t most_waiting_;
-    std::size_t threads_ = 0;
-    std::size_t idle_ = 0;
-    bool stopping_ = false;
+    std::size_t max_threads = 200;
+    std::size_t max_waiting = 400;     ///< connections accepted with no thread free
+    std::chrono::seconds idle{75};     ///< between two requests of a connection
+    std::chrono::seconds message{5};   ///< each wait for the peer within a message
+    std::size_t max_body = 64 * 1024;  ///< of a request, in bytes
 };
 
+/// A server of users and agents. Routes are set before `listen_after_bind`, which blocks; `bind`,
+/// `stop_accepting` and `quiet` may be called from other threads.
 class HttpServer : public httplib::Server {
   public:
     explicit HttpServer(HttpServerLimits limits);
-    // Widens the accept queue, which the library fixes at a handful. False: not bound.
-    bool bind(const std::string& host, int port);
-    // Takes no more connections; those there are end with their next answer.
+    /// Widens the accept queue, which the library fixes at a handful. False: not bound.
+    [[nodiscard]] bool bind(const std::string& host, int port);
+    /// Takes no more connections; those there are end with their next answer.
     void stop_accepting();
-    // Whether no request is being answered.
-    bool quiet() const { return answering_ == 0; }
+    /// Whether no request is being answered.
+    [[nodiscard]] bool quiet() const { return answering_ == 0; }
 
   private:
     bool process_and_close_socket(socket_t sock) override;
--- a/src/io/peer_link.cpp
+++ b/src/io/peer_link.cpp
@@ -160,6 +160,7 @@
         }
         no_delay(socket.fd());
         try {
+            // Detached: the server lives as long as the process, and a link ends with its peer.
             std::thread([this, s = std::move(socket)]() mutable { serve(std::move(s)); }).detach();
         } catch (const std::system_error&) {
             std::this_thread::sleep_for(milliseconds{20});
@@ -167,7 +168,8 @@
     }
 }
 
-// Guard against a log full of one line: such a peer comes back with every request.
+// Rate-limited against a log full of one line: such a peer comes back with every request
+// (tests/peer_link_test.cpp).
 void PeerServer::complain_of_version() {
     constexpr std::chrono::minutes again{10};
     const auto now = std::chrono::steady_clock::now();
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -15,8 +15,8 @@
 TEST(HttpServer, TurnsAwayWhatCanNotWait) {
     const int port = 23000 + static_cast<int>(::getpid() % 1000);
     HttpServerLimits limits;
-    limits.most_threads = 2;
-    limits.most_waiting = 3;
+    limits.max_threads = 2;
+    limits.max_waiting = 3;
     HttpServer server(limits);
     std::atomic<bool> open{false};
     std::atomic<int> inside{0};
