--- a/tests/lint_test.py
+++ b/tests/lint_test.py
@@ -27,8 +27,8 @@
 """
 CMAKE = """#!/bin/sh
 mkdir -p build/lint
-printf '[{"file": "%s/src/a.cpp"}, {"file": "%s/src/b.cpp"}]' "$PWD" "$PWD" \\
-    >build/lint/compile_commands.json
+printf '[{"file": "%s/src/a.cpp"}, {"file": "%s/src/b.cpp"}, {"file": "%s/scale/c.cpp"}]' \\
+    "$PWD" "$PWD" "$PWD" >build/lint/compile_commands.json
 """
 
 
@@ -38,7 +38,8 @@
         self.addCleanup(directory.cleanup)
         self.root = pathlib.Path(directory.name).resolve() / "repository"
         self.programs = self.root.parent / "programs"
-        for path in (self.root / "tools", self.root / "src", self.root / "tests", self.programs):
+        for path in (self.root / "tools", self.root / "src", self.root / "tests",
+                     self.root / "scale", self.programs):
             path.mkdir(parents=True)
         shutil.copy(TOOL, self.root / "tools" / "lint")
         for name, text in (("clang-format", FORMAT), ("clang-tidy", TIDY), ("cmake", CMAKE)):
@@ -79,6 +80,23 @@
                          ["src/a.hpp:1:1: error: not formatted",
                           "src/a.hpp:2:1: error: slow [performance]", "3 files, 2 findings"])
 
+    def test_scale_is_checked_with_the_rest(self):
+        (self.root / "scale" / "c.cpp").write_text("SLOW BAD\n")
+        done = self.lint()
+        self.assertEqual(done.returncode, 1, done.stderr)
+        self.assertEqual(done.stdout.splitlines(),
+                         ["scale/c.cpp:1:1: error: not formatted",
+                          "scale/c.cpp:2:1: error: slow [performance]", "4 files, 2 findings"])
+
+    def test_changed_header_of_scale_brings_what_includes_it(self):
+        (self.root / "scale" / "c.hpp").write_text("int c();\n")
+        (self.root / "scale" / "c.cpp").write_text('#include "c.hpp"\nSLOW\n')
+        self.git("add", "scale")
+        self.commit()
+        self.assertEqual(self.lint("--changed").returncode, 0)
+        (self.root / "scale" / "c.hpp").write_text("int c(int);\n")
+        self.assertEqual(self.lint("--changed").returncode, 1)
+
     def test_fix_formats(self):
         self.write("b.cpp", "BAD")
         self.assertEqual(self.lint("--fix").returncode, 0)
