--- a/src/config/core_config.hpp
+++ b/src/config/core_config.hpp
@@ -1,4 +1,4 @@
-/// What the core is told of both files of settings.
+/// What the core gets of both files of settings.
 #pragma once
 
 #include "config/operator_settings.hpp"
@@ -7,6 +7,7 @@
 
 namespace bendspindle::config {
 
+/// The deployment's teams, zones, timings and objectives, with the operators' choices.
 [[nodiscard]] core::Config core_config(const Settings& settings, const OperatorSettings& own);
 
 }  // namespace bendspindle::config
--- a/src/config/field_reader.hpp
+++ b/src/config/field_reader.hpp
@@ -19,7 +19,9 @@
     FieldReader(std::string file, std::string path, const nlohmann::json& map);
     FieldReader(std::string file, std::string path, nlohmann::json&& map) = delete;
 
+    /// The map in the field.
     [[nodiscard]] FieldReader map(const char* name) const;
+    /// The maps of the list in the field.
     [[nodiscard]] std::vector<FieldReader> maps(const char* name) const;
     /// Text that is not empty.
     [[nodiscard]] std::string text(const char* name) const;
@@ -32,6 +34,7 @@
     [[nodiscard]] core::Seconds seconds(const char* name) const;
     [[nodiscard]] io::Endpoint endpoint(const char* name) const;
 
+    /// Throws `SettingsError` for the field.
     [[noreturn]] void reject(const char* name, const char* reason) const;
 
   private:
--- a/src/config/operator_settings.hpp
+++ b/src/config/operator_settings.hpp
@@ -10,6 +10,7 @@
 
 namespace bendspindle::config {
 
+/// The defaults are those of the shipped file (tests/settings_test.cpp).
 struct OperatorSettings {
     std::string log_level;  ///< empty: LOG_LEVEL, else info
     core::Seconds cycle{2};
--- a/src/config/platform_settings.hpp
+++ b/src/config/platform_settings.hpp
@@ -26,6 +26,7 @@
     std::size_t txn_ops = 12;   ///< operations in one compare-and-swap
 };
 
+/// Everything of the platform's file that a controller uses.
 struct Settings {
     std::string name;
     std::string zone;
--- a/src/config/settings_error.hpp
+++ b/src/config/settings_error.hpp
@@ -8,6 +8,7 @@
 
 namespace bendspindle::config {
 
+/// `what()` is one line: the file, the field if there is one, and the reason.
 class SettingsError : public std::runtime_error {
   public:
     /// The file, or the option of the command line, as a whole is wrong.
--- a/src/io/http_client.hpp
+++ b/src/io/http_client.hpp
@@ -24,6 +24,7 @@
 /// nullopt without a host or with a port that is none.
 [[nodiscard]] std::optional<Endpoint> parse_endpoint(const std::string& text);
 
+/// Any answer, whatever its status.
 struct HttpAnswer {
     int status = 0;
     std::string body;
--- a/src/io/http_server.hpp
+++ b/src/io/http_server.hpp
@@ -11,6 +11,7 @@
 
 namespace bendspindle::io {
 
+/// What protects the process from too many, too slow and too large requests.
 struct HttpServerLimits {
     std::size_t max_threads = 200;
     std::size_t max_waiting = 400;     ///< connections accepted with no thread free
--- a/src/wire/cloud.hpp
+++ b/src/wire/cloud.hpp
@@ -31,6 +31,7 @@
     std::vector<core::ListedMachine> machines;
     bool more = false;  ///< pages follow
 };
+/// One page, with the machines of every stage.
 std::optional<MachineList> parse_list(std::string_view body);
 
 }  // namespace bendspindle::wire
--- a/src/wire/fields.hpp
+++ b/src/wire/fields.hpp
@@ -53,8 +53,11 @@
     /// A finite number that is not negative.
     double amount(const char* name) const;
     core::Seconds seconds(const char* name) const { return core::Seconds(amount(name)); }
+    /// A whole number from 0.
     std::uint64_t count(const char* name) const;
+    /// True or false.
     bool flag(const char* name) const;
+    /// A list of anything; what it holds is for the caller to check.
     const Value& list(const char* name) const;
     /// A list that holds nothing but maps.
     std::vector<Fields> maps(const char* name) const;
--- a/src/wire/peer.hpp
+++ b/src/wire/peer.hpp
@@ -34,6 +34,7 @@
     std::uint8_t kind = 0;
     std::uint32_t length = 0;
 };
+/// `version`: the peer runs a program of another protocol version.
 enum class HeaderError : std::uint8_t { none, version, malformed };
 struct ParsedHeader {
     Header header;
@@ -78,9 +79,10 @@
     std::vector<std::string> cancelled;
 };
 
+/// A whole frame, header included.
 std::string pack(const Request& request);
 std::string pack(const Answer& answer);
-/// Leaves out what would not fit into a frame, and is not complete then.
+/// The body of an answer. Leaves out what would not fit into a frame, and is not complete then.
 std::string pack(const CancellationSnapshot& snapshot);
 ParsedHeader parse_header(std::string_view bytes);
 std::optional<Request> parse_request(std::uint8_t kind, std::string_view payload);
--- a/src/wire/records.hpp
+++ b/src/wire/records.hpp
@@ -14,6 +14,7 @@
 
 namespace bendspindle::wire {
 
+/// An open job: what its user asked for, and which tasks are completed.
 Value job_record(const core::JobRecord& record);
 std::optional<core::JobRecord> parse_job_record(const Value& value);
 
@@ -21,6 +22,7 @@
 Value terminal_record(const core::JobRecord& record);
 std::optional<core::TerminalState> parse_terminal_record(const Value& value);
 
+/// A machine; its name is in the key.
 Value machine_record(const core::ListedMachine& machine);
 std::optional<core::ListedMachine> parse_machine_record(const std::string& name,
                                                         const Value& value);
--- a/src/wire/user_messages.hpp
+++ b/src/wire/user_messages.hpp
@@ -24,6 +24,7 @@
     std::string error;
 };
 ParsedJob parse_job(std::string_view body);
+/// The body of a submission.
 std::string job_body(const core::JobSpec& spec);
 /// The counts of tasks are left out where only the state is known.
 std::string status_body(const std::string& id, const core::JobStatus& status, bool with_counts);
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -114,7 +114,7 @@
     EXPECT_FALSE(parse_job("{\"uid\":1}").job);
 }
 
-// Guard of BoundedBuilder: nesting that fills a body must not run the stack over.
+// What BoundedBuilder is for: nesting that fills a body must not overflow the stack.
 TEST(Codec, DeepNestingIsRefused) {
     EXPECT_FALSE(parse_cbor(std::string(most_body, '\x81')));
     EXPECT_FALSE(parse_cbor(std::string(most_body, '\x9f')));
@@ -217,7 +217,7 @@
     EXPECT_FALSE(peer::parse_request(9, payload));
 }
 
-TEST(Peer, AWordIsPackedAndUnpacked) {
+TEST(Peer, ASnapshotIsPackedAndUnpacked) {
     const peer::CancellationSnapshot snapshot{std::chrono::milliseconds(1500),
                                               std::chrono::milliseconds(70'000),
                                               true,
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-// Guard: connections that had piled up took every socket of the process.
+// Connections that pile up once took every socket of the process.
 TEST(HttpServer, TurnsAwayWhatCanNotWait) {
     const int port = 23000 + static_cast<int>(::getpid() % 1000);
     HttpServerLimits limits;
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -23,7 +23,7 @@
                           [this](const std::string&) { ++complaints; }};
 };
 
-// Type comes back for the bytes: empty when the server closes the link.
+// What comes back for the bytes; empty when the server closes the link.
 std::string answer_to(int port, const std::string& bytes) {
     const io::Socket socket(::socket(AF_INET, SOCK_STREAM, 0));
     sockaddr_in address{};
@@ -39,7 +39,7 @@
     return answer;
 }
 
-// Guard: one line in the log for a peer of another version, not one for each of its requests;
+// One line in the log for a peer of another version, not one for each of its requests;
 // peers of this version are served all the same.
 TEST(PeerLink, AnotherVersionIsRefusedWithOneLine) {
     // The server runs until the process ends, as in a controller.
