--- a/src/agents/agent_command_client.cpp
+++ b/src/agents/agent_command_client.cpp
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "io/http_client.hpp"
-#include "wire/workers.hpp"
+#include "wire/agent_messages.hpp"
 
 namespace bendspindle::agents {
 
@@ -26,7 +26,7 @@
     const auto endpoint = io::parse_endpoint(command.address);
     if (!endpoint) return result;
     io::HttpClient client(*endpoint, call_limit);
-    const auto answer = client.post(wire::path::direct_orders, wire::direct_commands_body(command));
+    const auto answer = client.post(wire::path::direct_commands, wire::direct_commands_body(command));
     if (!answer) return result;
     if (answer->status == 200 || answer->status == 409)
         result.heartbeat = wire::parse_heartbeat(answer->body);
--- a/src/daemon/service.cpp
+++ b/src/daemon/service.cpp
@@ -8,9 +8,9 @@
 
 #include "daemon/stop_signal.hpp"
 #include "leadership/peer_sockets.hpp"
+#include "wire/agent_messages.hpp"
 #include "wire/records.hpp"
-#include "wire/users.hpp"
-#include "wire/workers.hpp"
+#include "wire/user_messages.hpp"
 
 namespace bendspindle::daemon {
 
@@ -543,8 +543,8 @@
 
 bool Service::run() {
     io::HttpServerLimits limits;
-    limits.most_threads = config::most_connections(settings_, own_);
-    limits.most_waiting = config::most_waiting(settings_, limits.most_threads);
+    limits.max_threads = config::max_connections(settings_, own_);
+    limits.max_waiting = config::max_waiting_connections(settings_, limits.max_threads);
     io::HttpServer http(limits);
     const auto send = [](const wire::Response& answer, httplib::Response& response) {
         response.status = answer.status;
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -11,12 +11,12 @@
 
 using namespace std::chrono_literals;
 
-// Guard: connections that had piled up took every socket of the process.
+// Connections that pile up once took every socket of the process.
 TEST(HttpServer, TurnsAwayWhatCanNotWait) {
     const int port = 23000 + static_cast<int>(::getpid() % 1000);
     HttpServerLimits limits;
-    limits.most_threads = 2;
-    limits.most_waiting = 3;
+    limits.max_threads = 2;
+    limits.max_waiting = 3;
     HttpServer server(limits);
     std::atomic<bool> open{false};
     std::atomic<int> inside{0};
