--- a/tests/leader_changes_test.cpp
+++ b/tests/leader_changes_test.cpp
@@ -16,8 +16,8 @@
 namespace bendspindle {
 namespace {
 
+using standin::LeaderChangeSimulation;
 using standin::TermsSetting;
-using standin::TermsWorld;
 using Lines = std::vector<std::string>;
 
 // After it no more happens, and everything must be over a cancellation's time later.
@@ -37,7 +37,7 @@
 
 Played play(const TermsSetting& setting, const Lines& lines, bool trace = false) {
     spdlog::set_level(spdlog::level::off);
-    TermsWorld world(setting);
+    LeaderChangeSimulation world(setting);
     if (trace) world.trace = [](const std::string& what) { std::cerr << what << "\n"; };
     for (const auto& line : lines) world.trouble(line);
     world.run(troubles_end + setting.workers.cancel.count() + 10);
--- a/tests/standin/leader_change_simulation.cpp
+++ b/tests/standin/leader_change_simulation.cpp
@@ -61,7 +61,7 @@
 // the controller's own.
 class TermsNode : public std::enable_shared_from_this<TermsNode> {
   public:
-    TermsNode(TermsWorld& world, const std::string& name)
+    TermsNode(LeaderChangeSimulation& world, const std::string& name)
         : name(name),
           world_(world),
           timeline_(world.timeline_),
@@ -392,7 +392,7 @@
         }
     }
 
-    TermsWorld& world_;
+    LeaderChangeSimulation& world_;
     Timeline& timeline_;
     const io::ClockFunction clock_;
 
@@ -406,7 +406,7 @@
     state::TerminalStateCache terminal_states;
 };
 
-TermsWorld::TermsWorld(const TermsSetting& setting)
+LeaderChangeSimulation::LeaderChangeSimulation(const TermsSetting& setting)
     : setting_(setting), random_(setting.seed), service_(timeline_, setting.seed + 1) {
     config_.name = "c0";
     config_.zones = {"a", "b"};
@@ -429,11 +429,11 @@
     timeline_.after(tick_every, [this] { tick(); });
 }
 
-TermsWorld::~TermsWorld() {
+LeaderChangeSimulation::~LeaderChangeSimulation() {
     timeline_.end();
 }
 
-void TermsWorld::prepare_records() {
+void LeaderChangeSimulation::prepare_records() {
     for (int i = 0; i < setting_.machines; ++i) {
         auto machine = std::make_unique<Machine>();
         auto& worker = machine->worker;
@@ -468,18 +468,18 @@
     }
 }
 
-void TermsWorld::say(const std::string& what) const {
+void LeaderChangeSimulation::say(const std::string& what) const {
     if (trace) trace(std::to_string(now()).substr(0, 7) + " " + what);
 }
 
-void TermsWorld::begin(const std::string& name) {
+void LeaderChangeSimulation::begin(const std::string& name) {
     auto node = std::make_shared<TermsNode>(*this, name);
     live_[name] = node;
     all_lives_.push_back(node);
     node->begin();
 }
 
-void TermsWorld::end(const std::string& name, double back) {
+void LeaderChangeSimulation::end(const std::string& name, double back) {
     const auto node = live(name);
     if (!node) return;
     say(name + " ends");
@@ -492,12 +492,12 @@
     });
 }
 
-std::shared_ptr<TermsNode> TermsWorld::live(const std::string& name) const {
+std::shared_ptr<TermsNode> LeaderChangeSimulation::live(const std::string& name) const {
     const auto found = live_.find(name);
     return found == live_.end() ? nullptr : found->second;
 }
 
-std::string TermsWorld::who(const std::string& word) {
+std::string LeaderChangeSimulation::who(const std::string& word) {
     if (word != "leader") return word;
     for (const auto& [name, node] : live_)
         if (node->leads_for_certain()) return name;
@@ -506,18 +506,18 @@
     return names_[static_cast<std::size_t>(below(static_cast<int>(names_.size())))];
 }
 
-void TermsWorld::trouble(const std::string& line) {
+void LeaderChangeSimulation::trouble(const std::string& line) {
     const auto words = split(line);
     timeline_.at(timeline_.time_of(std::stod(words.at(0))), [this, words] { play(words); });
 }
 
-void TermsWorld::for_a_while(double seconds, const std::function<void()>& begin,
-                             std::function<void()> end) {
+void LeaderChangeSimulation::for_a_while(double seconds, const std::function<void()>& begin,
+                                         std::function<void()> end) {
     begin();
     timeline_.after(Seconds(seconds), std::move(end));
 }
 
-void TermsWorld::play(const Words& words) {
+void LeaderChangeSimulation::play(const Words& words) {
     const auto& verb = words.at(1);
     const auto number = [&](std::size_t i) { return std::stod(words.at(i)); };
     std::string text;
@@ -614,21 +614,20 @@
     }
 }
 
-bool TermsWorld::cut(const std::string& one, const std::string& other) const {
+bool LeaderChangeSimulation::cut(const std::string& one, const std::string& other) const {
     const auto pair = std::minmax(one, other);
     return peers_cut_.contains(one) || peers_cut_.contains(other) ||
            pairs_cut_.contains({pair.first, pair.second});
 }
 
-SimulatedKeyValueStore::Way TermsWorld::way_to_state(const std::string& name) const {
+SimulatedKeyValueStore::Way LeaderChangeSimulation::way_to_state(const std::string& name) const {
     if (state_cut_held_.contains(name)) return SimulatedKeyValueStore::Way::held;
     if (state_cut_refused_.contains(name)) return SimulatedKeyValueStore::Way::refused;
     return SimulatedKeyValueStore::Way::open;
 }
 
-std::optional<wire::peer::Answer> TermsWorld::call_peer(const std::string& from,
-                                                        const std::string& to,
-                                                        const wire::peer::Request& request) {
+std::optional<wire::peer::Answer> LeaderChangeSimulation::call_peer(
+    const std::string& from, const std::string& to, const wire::peer::Request& request) {
     const auto target = live(to);
     if (!target || peers_refuse_ > 0) {
         timeline_.wait(Seconds{0.001});
@@ -662,7 +661,7 @@
     return exchange->answer;
 }
 
-void TermsWorld::became_leader(const std::string& name, std::uint64_t term) {
+void LeaderChangeSimulation::became_leader(const std::string& name, std::uint64_t term) {
     ++terms_;
     say(name + " leads under epoch " + std::to_string(term));
     if (ends_at_takeover_.empty()) return;
@@ -671,11 +670,11 @@
     timeline_.after(Seconds(delay), [this, name, back = back] { end(name, back); });
 }
 
-void TermsWorld::run(double until) {
+void LeaderChangeSimulation::run(double until) {
     timeline_.run_until(timeline_.time_of(until));
 }
 
-void TermsWorld::tick() {
+void LeaderChangeSimulation::tick() {
     const auto leader = service_.get(state::keys::leader);
     if (leader.entry.mod_revision != leader_key_revision_ && !service_.down()) {
         leader_key_revision_ = leader.entry.mod_revision;
@@ -691,8 +690,8 @@
 }
 
 // A hanging machine does nothing; it may go on at any time within its lease.
-void TermsWorld::tick(Machine& machine) {
-    const auto lease_end = machine.last_answered + setting_.workers.lease.count();
+void LeaderChangeSimulation::tick(Machine& machine) {
+    const auto lease_end = machine.last_response + setting_.workers.lease.count();
     if (machine.hung_until > now()) {
         if (now() < lease_end) return;
         machine.hung_until = now();
@@ -709,18 +708,18 @@
     if (!machine.in_flight && due && now() - machine.last_sent >= 0.5) send_report(machine);
 }
 
-void TermsWorld::expire(Machine& machine) {
+void LeaderChangeSimulation::expire(Machine& machine) {
     auto& worker = machine.worker;
     ++expired_;
     say(worker.name + "'s lease is over");
     worker.tasks.clear();
     ++worker.agent_epoch;
     worker.sequence = 0;
-    machine.last_answered = now();
+    machine.last_response = now();
     machine.changed = true;
 }
 
-void TermsWorld::send_report(Machine& machine) {
+void LeaderChangeSimulation::send_report(Machine& machine) {
     machine.changed = false;
     machine.in_flight = true;
     machine.sent = machine.last_sent = now();
@@ -742,18 +741,19 @@
     });
 }
 
-void TermsWorld::failed(Machine& machine, std::uint64_t flight, double pause) {
+void LeaderChangeSimulation::failed(Machine& machine, std::uint64_t flight, double pause) {
     if (!machine.in_flight || machine.flight != flight) return;
     machine.in_flight = false;
     machine.at = (machine.at + 1) % setting_.controllers;
     machine.next_heartbeat = now() + pause;
 }
 
-bool TermsWorld::hears(const Machine& machine) const {
+bool LeaderChangeSimulation::hears(const Machine& machine) const {
     return !machine.gone && machine.deaf_until <= now();
 }
 
-void TermsWorld::answered(Machine& machine, std::uint64_t flight, const wire::Response& response) {
+void LeaderChangeSimulation::answered(Machine& machine, std::uint64_t flight,
+                                      const wire::Response& response) {
     if (machine.gone || !machine.in_flight || machine.flight != flight) return;
     if (!hears(machine) || now() - machine.sent > report_patience) return;
     if (machine.hung_until > now()) {
@@ -775,7 +775,7 @@
     machine.in_flight = false;
     const auto answer = read_orders(response.body);
     if (answer.fencing_token < machine.worker.fencing_token) return;
-    machine.last_answered = machine.sent;
+    machine.last_response = machine.sent;
     std::string text;
     for (const auto& command : answer.commands)
         text +=
@@ -787,7 +787,7 @@
 }
 
 // The lease that was just renewed must end before what it keeps alive has to be gone.
-void TermsWorld::check_renewal(const Machine& machine) {
+void LeaderChangeSimulation::check_renewal(const Machine& machine) {
     for (const auto& task : machine.worker.tasks) {
         const auto asked = asked_.find(task.job);
         if (task.state == TaskState::exited || asked == asked_.end() || asked->second.told < 0)
@@ -799,8 +799,8 @@
     }
 }
 
-void TermsWorld::obey(Machine& machine, std::uint64_t fencing_token,
-                      const std::vector<core::TaskCommand>& commands) {
+void LeaderChangeSimulation::obey(Machine& machine, std::uint64_t fencing_token,
+                                  const std::vector<core::TaskCommand>& commands) {
     auto& worker = machine.worker;
     if (fencing_token > worker.fencing_token) {
         worker.fencing_token = fencing_token;
@@ -816,8 +816,8 @@
 }
 
 // Type a machine that hangs or is cut off cannot take now arrives later.
-void TermsWorld::deliver_call(const std::shared_ptr<TermsNode>& from,
-                              const core::DirectCommand& call) {
+void LeaderChangeSimulation::deliver_call(const std::shared_ptr<TermsNode>& from,
+                                          const core::DirectCommand& call) {
     const auto settled = std::make_shared<bool>(false);
     const auto settle = [=, this](core::CommandOutcome outcome,
                                   const std::optional<core::Heartbeat>& heartbeat) {
@@ -850,7 +850,7 @@
     timeline_.after(call_limit, [settle] { settle(core::CommandOutcome::unknown, std::nullopt); });
 }
 
-std::vector<std::string> TermsWorld::open_jobs() const {
+std::vector<std::string> LeaderChangeSimulation::open_jobs() const {
     std::set<std::string> out;
     for (const auto& [name, machine] : machines_)
         for (const auto& task : machine->worker.tasks)
@@ -860,12 +860,12 @@
 }
 
 // A user asks until it is told, at one controller after the other.
-void TermsWorld::cancel(const std::string& job) {
+void LeaderChangeSimulation::cancel(const std::string& job) {
     asked_[job] = {};
     ask_to_cancel(job);
 }
 
-void TermsWorld::ask_to_cancel(const std::string& job) {
+void LeaderChangeSimulation::ask_to_cancel(const std::string& job) {
     if (asked_[job].told >= 0) return;
     const auto& name = names_[static_cast<std::size_t>(below(static_cast<int>(names_.size())))];
     const auto again = [=, this](double pause) {
@@ -889,7 +889,7 @@
     });
 }
 
-void TermsWorld::told(const std::string& job, const std::string& by) {
+void LeaderChangeSimulation::told(const std::string& job, const std::string& by) {
     if (asked_[job].told >= 0) return;
     asked_[job].told = now();
     ++confirmed_;
@@ -900,7 +900,7 @@
     timeline_.after(Seconds(delay), [this, back = back] { end(who("leader"), back); });
 }
 
-std::size_t TermsWorld::running() const {
+std::size_t LeaderChangeSimulation::running() const {
     std::size_t out = 0;
     for (const auto& [name, machine] : machines_)
         for (const auto& task : machine->worker.tasks)
@@ -908,13 +908,13 @@
     return out;
 }
 
-void TermsWorld::note(const std::string& what) {
+void LeaderChangeSimulation::note(const std::string& what) {
     if (!noted_.insert(what).second) return;
     say("BROKEN " + what);
     broken_.push_back(std::to_string(now()).substr(0, 7) + " " + what);
 }
 
-void TermsWorld::check() {
+void LeaderChangeSimulation::check() {
     for (const auto& [name, machine] : machines_) {
         if (machine->gone) continue;
         for (const auto& task : machine->worker.tasks) {
--- a/tests/standin/leader_change_simulation.hpp
+++ b/tests/standin/leader_change_simulation.hpp
@@ -58,10 +58,10 @@
 
 class TermsNode;
 
-class TermsWorld {
+class LeaderChangeSimulation {
   public:
-    explicit TermsWorld(const TermsSetting& setting);
-    ~TermsWorld();
+    explicit LeaderChangeSimulation(const TermsSetting& setting);
+    ~LeaderChangeSimulation();
     void trouble(const std::string& line);
     void run(double until);
 
@@ -78,13 +78,13 @@
     friend class TermsNode;
     using Words = std::vector<std::string>;
     struct Machine {
-        Worker worker;
+        SimulatedAgent worker;
         int at = 0;  // the controller that it reports to
         bool gone = false;
         bool in_flight = false;
         std::uint64_t flight = 0;
         double sent = 0;
-        double last_answered = 0;  // when the last answered report was sent
+        double last_response = 0;  // when the last answered report was sent
         double next_heartbeat = 0;
         double last_sent = -10;
         double token_change = -1000;
