--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -9,26 +9,26 @@
 
 namespace {
 
-constexpr std::uint32_t most_a_request = 50;
-constexpr std::size_t most_a_release = 100;
+constexpr std::uint32_t max_machines_per_request = 50;
+constexpr std::size_t max_machines_per_release = 100;
 constexpr Seconds refused_pause{15};
 // Learned demand goes behind whatever waits.
 constexpr int expected_rank = 1000;
 
 }  // namespace
 
-// Packs wants onto the machines there are, and onto machines to be rented where those are full.
-class Packing {
+// Packs wants onto the machines there are, and onto new ones where those are full.
+class BinPacking {
   public:
     struct Pool {
         PoolKey key;
         std::size_t type = 0;
         bool refused = false;
         std::uint32_t have = 0;
-        std::uint32_t to_rent = 0;
+        std::uint32_t to_scale_out = 0;
     };
 
-    explicit Packing(const MachineCatalog& catalog) : catalog_(catalog) {}
+    explicit BinPacking(const MachineCatalog& catalog) : catalog_(catalog) {}
 
     void add_pool(PoolKey key, std::size_t type, bool refused) {
         if (!index_.try_emplace(key, pools_.size()).second) return;
@@ -53,7 +53,7 @@
 
   private:
     struct Bin {
-        const Machine* machine = nullptr;  // null: to be rented
+        const Machine* machine = nullptr;  // null: to be scaled out
         std::size_t pool = 0;
         Resources free;
         bool used = false;
@@ -68,7 +68,7 @@
         std::vector<double> price;
         std::vector<bool> may_use;
 
-        bool barred(const std::string& other) const { return together && zone && *zone != other; }
+        bool excluded(const std::string& other) const { return together && zone && *zone != other; }
     };
     double price_a_task(const JobSpec& spec, const Pool& pool) const;
     static void fill(Bin& bin, Load& load) {
@@ -78,9 +78,9 @@
             --load.left;
         }
     }
-    static bool barred(const Bin& bin, const JobSpec& spec);
-    void onto_machines(Load& load);
-    void onto_rented(Load& load);
+    static bool excluded(const Bin& bin, const JobSpec& spec);
+    void onto_existing_machines(Load& load);
+    void onto_new_machines(Load& load);
     std::optional<std::size_t> cheapest(const Load& load) const;
 
     const MachineCatalog& catalog_;
@@ -90,7 +90,7 @@
 };
 
 // The price of one task on a machine of this kind, with what the task leaves unused of it.
-double Packing::price_a_task(const JobSpec& spec, const Pool& pool) const {
+double BinPacking::price_a_task(const JobSpec& spec, const Pool& pool) const {
     const auto& type = catalog_[pool.type];
     double fit = std::numeric_limits<double>::max();
     const auto narrow = [&](double need, double size) {
@@ -102,7 +102,7 @@
     return (pool.key.spot ? type.spot_price : type.price) / std::max(fit, 1.0);
 }
 
-void Packing::pack(const JobSpec& spec, std::uint32_t tasks, bool expected) {
+void BinPacking::pack(const JobSpec& spec, std::uint32_t tasks, bool expected) {
     Load load{spec,      expected, spec.one_zone && spec.kind == Kind::gang && spec.tasks > 1,
               spec.zone, tasks,    {},
               {}};
@@ -111,24 +111,24 @@
         load.may_use.push_back(allowed(spec, pool.key.type, pool.key.zone, pool.key.spot) &&
                                catalog_.suits(spec, catalog_[pool.type]));
     }
-    onto_machines(load);
-    onto_rented(load);
+    onto_existing_machines(load);
+    onto_new_machines(load);
 }
 
 // Guard against a job that waits for ever: it had failed on one of the machines it needs, was not
-// placed there again, and since the machine was there none was rented. Of a job that fails
+// placed there again, and since the machine was there none was scaled out. Of a job that fails
 // everywhere that says nothing.
-bool Packing::barred(const Bin& bin, const JobSpec& spec) {
+bool BinPacking::excluded(const Bin& bin, const JobSpec& spec) {
     if (!bin.machine || bin.machine->failures.weight_by_job.empty()) return false;
     const auto failed = bin.machine->failures.weight_by_job.find(spec.id);
     return failed != bin.machine->failures.weight_by_job.end() && failed->second >= 1;
 }
 
-void Packing::onto_machines(Load& load) {
+void BinPacking::onto_existing_machines(Load& load) {
     std::vector<std::size_t> order;
     for (std::size_t b = 0; b < bins_.size(); ++b)
         if (load.may_use[bins_[b].pool] && bins_[b].free.holds(load.spec.need) &&
-            !barred(bins_[b], load.spec))
+            !excluded(bins_[b], load.spec))
             order.push_back(b);
     std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
         const auto price_a = load.price[bins_[a].pool];
@@ -139,19 +139,20 @@
     for (const auto b : order) {
         if (load.left == 0) return;
         const auto& zone = pools_[bins_[b].pool].key.zone;
-        if (load.barred(zone)) continue;
+        if (load.excluded(zone)) continue;
         fill(bins_[b], load);
         if (load.together) load.zone = zone;
     }
 }
 
 // The kind that runs one task for the least, of those not refused lately.
-std::optional<std::size_t> Packing::cheapest(const Load& load) const {
+std::optional<std::size_t> BinPacking::cheapest(const Load& load) const {
     std::optional<std::size_t> best;
     for (std::size_t p = 0; p < pools_.size(); ++p) {
         const auto& pool = pools_[p];
         if (pool.refused || !load.may_use[p]) continue;
-        if (!catalog_[pool.type].size.holds(load.spec.need) || load.barred(pool.key.zone)) continue;
+        if (!catalog_[pool.type].size.holds(load.spec.need) || load.excluded(pool.key.zone))
+            continue;
         // Ordinary machines are not kept ahead of work that spot ones can do.
         if (load.expected && load.spec.spot && !pool.key.spot) continue;
         if (!best || load.price[p] < load.price[*best] ||
@@ -161,18 +162,18 @@
     return best;
 }
 
-void Packing::onto_rented(Load& load) {
+void BinPacking::onto_new_machines(Load& load) {
     while (load.left > 0) {
         const auto best = cheapest(load);
         if (!best) return;
         auto& pool = pools_[*best];
-        ++pool.to_rent;
+        ++pool.to_scale_out;
         ++pool.have;
         Bin bin{nullptr, *best, catalog_[pool.type].size, true};
         fill(bin, load);
         if (load.together) load.zone = pool.key.zone;
         bins_.push_back(bin);
-        if (pool.to_rent >= most_a_request) return;
+        if (pool.to_scale_out >= max_machines_per_request) return;
     }
 }
 
@@ -191,14 +192,14 @@
     return static_cast<std::uint32_t>(std::ceil(left / rounds));
 }
 
-Seconds Autoscaler::patience(const Job& job, TimePoint now) const {
-    const auto aim = config_.objectives.start_within.find(job.spec.job_class);
-    if (aim == config_.objectives.start_within.end()) return Seconds{0};
-    return aim->second * slack_used - between(job.accepted_at, now);
+Seconds Autoscaler::start_slack(const Job& job, TimePoint now) const {
+    const auto objective = config_.objectives.start_within.find(job.spec.job_class);
+    if (objective == config_.objectives.start_within.end()) return Seconds{0};
+    return objective->second * slack_used - between(job.accepted_at, now);
 }
 
-std::vector<Autoscaler::Ending> Autoscaler::endings(TimePoint now) const {
-    std::vector<Ending> out;
+std::vector<Autoscaler::ExpectedCompletion> Autoscaler::expected_completions(TimePoint now) const {
+    std::vector<ExpectedCompletion> out;
     for (const auto& [serial, job] : job_table_.all()) {
         if (job->spec.kind != Kind::gang) continue;
         for (const auto& [index, assignment] : job->assignments) {
@@ -208,23 +209,26 @@
                 out.push_back({estimates_.remaining(*job, assignment, now), job.get(), &machine});
         }
     }
-    std::sort(out.begin(), out.end(), [](const Ending& a, const Ending& b) { return a.in < b.in; });
+    std::sort(out.begin(), out.end(),
+              [](const ExpectedCompletion& a, const ExpectedCompletion& b) { return a.in < b.in; });
     return out;
 }
 
 // A machine that frees up before the job's start is due serves it as well as a new one.
-bool Autoscaler::waits_for_ending(const Job& job, std::vector<Ending>& endings,
-                                  TimePoint now) const {
+bool Autoscaler::waits_for_completion(const Job& job,
+                                      std::vector<ExpectedCompletion>& expected_completions,
+                                      TimePoint now) const {
     if (job.spec.kind != Kind::gang || job.spec.tasks != 1 || !job.assignments.empty())
         return false;
-    const auto slot = std::find_if(endings.begin(), endings.end(), [&](const Ending& e) {
-        return e.in < patience(job, now) && e.job->spec.need.holds(job.spec.need) &&
-               inventory_.allows(job.spec, *e.machine);
-    });
-    if (slot == endings.end()) return false;
+    const auto slot = std::find_if(
+        expected_completions.begin(), expected_completions.end(), [&](const ExpectedCompletion& e) {
+            return e.in < start_slack(job, now) && e.job->spec.need.holds(job.spec.need) &&
+                   inventory_.allows(job.spec, *e.machine);
+        });
+    if (slot == expected_completions.end()) return false;
     slot->in += estimates_.expected_run(job);
-    std::sort(endings.begin(), endings.end(),
-              [](const Ending& a, const Ending& b) { return a.in < b.in; });
+    std::sort(expected_completions.begin(), expected_completions.end(),
+              [](const ExpectedCompletion& a, const ExpectedCompletion& b) { return a.in < b.in; });
     return true;
 }
 
@@ -233,17 +237,17 @@
     std::map<std::string, ClassDemand> demand;
     std::map<std::string, std::uint32_t> asked;
     const auto quota = quota_accounting_.snapshot(now);
-    auto ending = endings(now);
+    auto completions = expected_completions(now);
     for (const auto& [serial, job] : job_table_.all()) {
         if (job->is_terminal() || !job->record.durable) continue;
         const auto placed = static_cast<std::uint32_t>(job->assignments.size());
-        const auto n = std::min(wanted(*job, now), quota.room(*job) + placed);
+        const auto n = std::min(wanted(*job, now), quota.remaining_tasks(*job) + placed);
         demand_.note_typical(job->spec);
         auto& wanted_now = demand[job->spec.job_class];
         wanted_now.wanted += n;
         wanted_now.waiting += n - std::min(n, placed);
         asked[job->spec.job_class] += n;
-        if (n == 0 || waits_for_ending(*job, ending, now)) continue;
+        if (n == 0 || waits_for_completion(*job, completions, now)) continue;
         out.push_back({&job->spec, n, false, quota.rank(*job)});
     }
     demand_.learn(demand, now);
@@ -261,8 +265,8 @@
     return out;
 }
 
-Packing Autoscaler::pack(const std::vector<Want>& wants, TimePoint now) const {
-    Packing packing(catalog_);
+BinPacking Autoscaler::pack(const std::vector<Want>& wants, TimePoint now) const {
+    BinPacking packing(catalog_);
     for (std::size_t t = 0; t < catalog_.types().size(); ++t)
         for (const auto& zone : catalog_[t].zones)
             for (const bool spot : {true, false}) {
@@ -274,7 +278,7 @@
         if (machine.draining() || machine.reachability.inbound_unreachable_since ||
             !machine.identity.type_known)
             continue;
-        // One that nobody has rented shows itself as real within a report or two, or never does.
+        // One that nobody has scaled out proves to exist within a heartbeat or two, or never does.
         if (!MachineInventory::certainly_exists(machine) &&
             between(machine.contact.first_seen, now) > config_.workers.heartbeat * 2)
             continue;
@@ -287,13 +291,14 @@
     return packing;
 }
 
-std::vector<std::string> Autoscaler::returns(const Packing& packing, TimePoint now) {
+std::vector<std::string> Autoscaler::scale_in(const BinPacking& packing, TimePoint now) {
     std::vector<std::string> out;
     const auto wanted = packing.used();
     for (auto& [name, machine] : inventory_.all()) {
         if (machine.reachability.inbound_unreachable_since) {
-            // No capacity, but not unwanted either: `Fleet` gives it up, and not many at once.
-            if (machine.lifecycle.releasing && out.size() < most_a_release) out.push_back(name);
+            // No capacity, but no surplus either: the inventory releases it, and few at once.
+            if (machine.lifecycle.releasing && out.size() < max_machines_per_release)
+                out.push_back(name);
             continue;
         }
         const bool paid = between(machine.contact.first_seen, now) > config_.least_paid;
@@ -302,7 +307,7 @@
         else if (!machine.lifecycle.surplus_since)
             machine.lifecycle.surplus_since = now;
         // Guard against machines that are dear and never empty: small tasks kept GPU machines busy
-        // all day that no GPU work wanted, and they were never given back.
+        // all day that no GPU work wanted, and they were never released.
         machine.lifecycle.draining_for_scale_in =
             paid && machine.lifecycle.surplus_since &&
             between(*machine.lifecycle.surplus_since, now) > config_.idle_return;
@@ -311,7 +316,8 @@
                           (machine.lifecycle.draining_for_scale_in ||
                            between(machine.lifecycle.idle_since, now) > config_.idle_return);
         if (!wanted.contains(name) && paid && idle) machine.lifecycle.releasing = true;
-        if (machine.lifecycle.releasing && out.size() < most_a_release) out.push_back(name);
+        if (machine.lifecycle.releasing && out.size() < max_machines_per_release)
+            out.push_back(name);
     }
     return out;
 }
@@ -322,17 +328,17 @@
     inventory_.keep_time(now);
     const auto packing = pack(wants(now), now);
     for (const auto& pool : packing.pools()) {
-        if (pool.to_rent == 0) continue;
+        if (pool.to_scale_out == 0) continue;
         ScaleOutRequest request;
-        // The term makes the name unique: it is never used by another steward.
+        // The term makes the name unique: no other leader uses it.
         request.request = "r-" + std::to_string(term_) + "-" + std::to_string(++next_request_);
         request.type = pool.key.type;
         request.zone = pool.key.zone;
         request.spot = pool.key.spot;
-        request.count = std::min(pool.to_rent, most_a_request);
+        request.count = std::min(pool.to_scale_out, max_machines_per_request);
         out.scale_out.push_back(std::move(request));
     }
-    out.release = returns(packing, now);
+    out.release = scale_in(packing, now);
     for (const auto& name : out.release)
         if (inventory_.must_be_released(inventory_.at(name), now)) out.overdue.push_back(name);
     return out;
--- a/src/core/autoscaling/autoscaler.hpp
+++ b/src/core/autoscaling/autoscaler.hpp
@@ -1,5 +1,8 @@
-// What to rent and what to return. Demand is packed onto the machines there are; what does not
-// fit is rented, and a machine that nothing is packed on is returned once it has idled.
+/// What to scale out and what to scale in. Demand is packed onto the machines there are; what does
+/// not fit is scaled out, and a machine that nothing is packed on is released once it has idled.
+/// Called by `Controller`; it plans, and the cloud client carries out and reports back. Owner of
+/// the learned demand and of the pools that were refused lately; writes the scale-in fields of
+/// `Machine::lifecycle`.
 #pragma once
 
 #include <compare>
@@ -22,14 +25,16 @@
 
 namespace bendspindle::core {
 
+/// Requests to the cloud. Machines in `release` are marked as releasing, and listed again until
+/// their release is answered.
 struct ScalingPlan {
     std::vector<ScaleOutRequest> scale_out;
     std::vector<std::string> release;
-    std::vector<std::string>
-        overdue;  // of those: what must be gone even if another controller acts
+    // Of those: what must be gone even if another controller leads.
+    std::vector<std::string> overdue;
 };
 
-// Machines of one type, zone and kind: what is decided for a pool is decided once.
+/// Machines of one type, zone and kind: what is decided for a pool is decided once.
 struct PoolKey {
     std::string type;
     std::string zone;
@@ -37,8 +42,9 @@
     auto operator<=>(const PoolKey&) const = default;
 };
 
-class Packing;
+class BinPacking;
 
+/// Plans; see above. One for each term: request names hold the term.
 class Autoscaler {
   public:
     Autoscaler(const Config& config, const MachineCatalog& catalog, MachineInventory& inventory,
@@ -53,13 +59,16 @@
           demand_(config, catalog, estimates),
           term_(term) {}
 
+    /// A job was accepted.
     void arrived(const JobSpec& spec, TimePoint now) { demand_.arrived(spec, now); }
-    ScalingPlan plan(TimePoint now);
+    /// What to ask of the cloud now.
+    [[nodiscard]] ScalingPlan plan(TimePoint now);
+    /// The cloud has answered a scale-out. Fewer machines than asked for: the pool rests a while.
     void scaled_out(const ScaleOutRequest& request, const std::vector<std::string>& names,
                     TimePoint now);
 
   private:
-    // Tasks to find room for: of a job, or of a class that was learned to ask for them.
+    // Tasks to find machines for: of a job, or of a class that was learned to ask for them.
     struct Want {
         const JobSpec* spec = nullptr;
         std::uint32_t tasks = 0;
@@ -67,19 +76,20 @@
         int rank = 0;
     };
     // A gang's task that fills a machine, and when it is expected to end.
-    struct Ending {
+    struct ExpectedCompletion {
         Seconds in{0};
         const Job* job = nullptr;
         const Machine* machine = nullptr;
     };
     std::vector<Want> wants(TimePoint now);
-    std::vector<Ending> endings(TimePoint now) const;
-    bool waits_for_ending(const Job& job, std::vector<Ending>& endings, TimePoint now) const;
+    std::vector<ExpectedCompletion> expected_completions(TimePoint now) const;
+    bool waits_for_completion(const Job& job, std::vector<ExpectedCompletion>& expected_completions,
+                              TimePoint now) const;
     std::uint32_t wanted(const Job& job, TimePoint now) const;
-    // How much longer a waiting job may wait for a machine to free up, by its class's aim.
-    Seconds patience(const Job& job, TimePoint now) const;
-    Packing pack(const std::vector<Want>& wants, TimePoint now) const;
-    std::vector<std::string> returns(const Packing& packing, TimePoint now);
+    // How much longer a waiting job may wait for a machine to free up, by its class's objective.
+    Seconds start_slack(const Job& job, TimePoint now) const;
+    BinPacking pack(const std::vector<Want>& wants, TimePoint now) const;
+    std::vector<std::string> scale_in(const BinPacking& packing, TimePoint now);
 
     const Config& config_;
     const MachineCatalog& catalog_;
--- a/src/core/autoscaling/demand_forecast.cpp
+++ b/src/core/autoscaling/demand_forecast.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-constexpr Seconds piled_up{5};
+// After the first call of `learn`: what comes before has piled up.
+constexpr Seconds initial_backlog{5};
 
 }  // namespace
 
@@ -23,7 +24,7 @@
     learned.tasks += (spec.tasks - learned.tasks) / weight;
     learned.run += (spec.estimate - learned.run) / weight;
     // What comes in the first moments has piled up before and tells nothing of the rate.
-    if (since_ && between(*since_, now) > piled_up) learned.recent += 1;
+    if (since_ && between(*since_, now) > initial_backlog) learned.recent += 1;
 }
 
 void DemandForecast::learn(const std::map<std::string, ClassDemand>& now_wanted, TimePoint now) {
@@ -59,7 +60,7 @@
         const auto it = now_wanted.find(name);
         const auto asks = it == now_wanted.end() ? ClassDemand{} : it->second;
         const double mean =
-            std::max(learned.mean, forecast(learned, ratio, asks)) * still_coming(learned, now);
+            std::max(learned.mean, forecast(learned, ratio, asks)) * continuation(learned, now);
         const double most = mean + headroom(learned, ratio) * std::sqrt(mean * a_job);
         out[name] = {&learned.typical, static_cast<std::uint32_t>(std::floor(most + 0.5))};
     }
@@ -75,8 +76,9 @@
     constexpr double patient_share = 0.5;
     auto wait = Seconds::max();
     if (spec.deadline) wait = *spec.deadline - spec.estimate * ratio;
-    const auto aim = config_.objectives.start_within.find(spec.job_class);
-    if (aim != config_.objectives.start_within.end()) wait = std::min(wait, aim->second);
+    const auto objective = config_.objectives.start_within.find(spec.job_class);
+    if (objective != config_.objectives.start_within.end())
+        wait = std::min(wait, objective->second);
     const auto* team = config_.team(spec.team);
     const bool guaranteed = team && (team->guaranteed.cpus > 0 || team->guaranteed.gpus > 0);
     if (guaranteed && config_.objectives.guaranteed_start)
@@ -88,7 +90,7 @@
 // When a class has been silent for longer than its jobs usually are apart, what was learned of it
 // is believed less and less: the day's work may be over, and idle machines cost as much as busy
 // ones.
-double DemandForecast::still_coming(const Learned& learned, TimePoint now) {
+double DemandForecast::continuation(const Learned& learned, TimePoint now) {
     if (learned.arrivals < 2) return 1;
     const auto silent = between(learned.last_arrival, now);
     if (silent <= learned.gap * 2) return 1;
@@ -104,7 +106,7 @@
     return static_cast<std::uint32_t>(std::ceil(spec.tasks / rounds));
 }
 
-// What a class will want when a machine rented now is up: what waits, what still runs then, and
+// What a class will want when a machine scaled out now is up: what waits, what still runs then, and
 // what arrives until then, at the rate of late. In steady times that is what it wants now; while
 // work builds up, the mean of the past is behind by more than a boot.
 double DemandForecast::forecast(const Learned& learned, double ratio,
--- a/src/core/autoscaling/demand_forecast.hpp
+++ b/src/core/autoscaling/demand_forecast.hpp
@@ -1,5 +1,6 @@
-// Owner of what was learned of demand: how much of each class is wanted, how often its jobs come,
-// and what follows from that for a boot ahead.
+/// Owner of what was learned of demand: how much of each class is wanted, how often its jobs come,
+/// and what follows from that for a boot ahead. Used by `Autoscaler` alone. Begins empty in each
+/// term.
 #pragma once
 
 #include <map>
@@ -14,30 +15,34 @@
 
 namespace bendspindle::core {
 
-// What a class asks for now, in tasks.
+/// What a class asks for now, in tasks: all, and those of them that are not placed.
 struct ClassDemand {
     double wanted = 0;
     double waiting = 0;
 };
 
+/// What each class is expected to want, learned from arrivals and from what was wanted.
 class DemandForecast {
   public:
     DemandForecast(const Config& config, const MachineCatalog& catalog,
                    const RuntimeEstimates& estimates)
         : config_(config), catalog_(catalog), estimates_(estimates) {}
 
+    /// A job was accepted.
     void arrived(const JobSpec& spec, TimePoint now);
-    // A job of the class as of now.
+    /// A job of the class as of now.
     void note_typical(const JobSpec& spec) { classes_[spec.job_class].typical = spec; }
+    /// Takes in what each class asks for now.
     void learn(const std::map<std::string, ClassDemand>& now_wanted, TimePoint now);
 
+    /// `typical` points into this owner, which never forgets a class.
     struct Target {
         const JobSpec* typical;
         std::uint32_t tasks;
     };
-    // Tasks of each class to keep machines for, asked for now or not.
-    std::map<std::string, Target> targets(const std::map<std::string, ClassDemand>& now_wanted,
-                                          TimePoint now) const;
+    /// Tasks of each class to keep machines for, asked for now or not.
+    [[nodiscard]] std::map<std::string, Target> targets(
+        const std::map<std::string, ClassDemand>& now_wanted, TimePoint now) const;
 
   private:
     struct Learned {
@@ -54,7 +59,7 @@
     };
     // `ratio`: of the class's run times to its owners' estimates.
     double headroom(const Learned& learned, double ratio) const;
-    static double still_coming(const Learned& learned, TimePoint now);
+    static double continuation(const Learned& learned, TimePoint now);
     static std::uint32_t wanted_of_typical(const Learned& learned, double ratio);
     double forecast(const Learned& learned, double ratio, const ClassDemand& demand) const;
 
@@ -67,7 +72,7 @@
     Seconds counted_{0};  // how long arrivals have been counted, the older time the less
 };
 
-// Part of a deadline's or an aim's slack that planning counts on.
+/// Part of a deadline's or an objective's slack that planning counts on.
 inline constexpr double slack_used = 0.6;
 
 }  // namespace bendspindle::core
--- a/src/core/cluster/job.hpp
+++ b/src/core/cluster/job.hpp
@@ -147,6 +147,7 @@
     std::uint32_t count = 0;
 };
 
+/// An open job, or one in a terminal state that still has tasks on machines or is not durable.
 struct Job {
     JobSpec spec;
     std::uint64_t serial = 0;  // order of acceptance here
@@ -169,6 +170,7 @@
     [[nodiscard]] std::uint32_t idle_count() const {
         return spec.tasks - progress.finished - progress.placed;
     }
+    /// Keeps the counts of `progress` right.
     void set_phase(std::uint32_t index, TaskPhase to);
     [[nodiscard]] bool is_terminal() const { return terminal.state != TerminalState::none; }
     /// Fails on every machine so far: submitted with a mistake, perhaps.
--- a/src/core/cluster/job_table.hpp
+++ b/src/core/cluster/job_table.hpp
@@ -29,6 +29,7 @@
     std::uint32_t running = 0;
 };
 
+/// All jobs in memory. References to a job hold until it is forgotten.
 class JobTable {
   public:
     /// By serial: in order of acceptance.
--- a/src/core/cluster/machine.hpp
+++ b/src/core/cluster/machine.hpp
@@ -128,6 +128,7 @@
     bool draining_for_scale_in = false;      // takes no more tasks, and is released when empty
 };
 
+/// A machine that exists, or may: it stays until its release was answered.
 struct Machine {
     MachineIdentity identity;
     MachineRecordState record;
--- a/src/core/cluster/machine_catalog.hpp
+++ b/src/core/cluster/machine_catalog.hpp
@@ -27,6 +27,7 @@
 [[nodiscard]] bool allowed(const JobSpec& spec, const std::string& type, const std::string& zone,
                            bool spot);
 
+/// Types are named by their index, which holds until `set`.
 class MachineCatalog {
   public:
     /// Replaces all types; indices into them change (`MachineInventory::catalog_changed`).
@@ -34,6 +35,7 @@
     bool known() const { return !types_.empty(); }
     const std::vector<MachineType>& types() const { return types_; }
     const MachineType& operator[](std::size_t type) const { return types_[type]; }
+    /// Nothing where the catalog has no such type.
     std::optional<std::size_t> find(const std::string& name) const;
     /// As much of everything as any type has.
     [[nodiscard]] Resources largest() const;
--- a/src/core/cluster/machine_inventory.hpp
+++ b/src/core/cluster/machine_inventory.hpp
@@ -33,6 +33,7 @@
 
 namespace bendspindle::core {
 
+/// All machines, by name. References to a machine hold until it is removed.
 class MachineInventory {
   public:
     /// Both references must outlive the inventory.
@@ -126,6 +127,7 @@
     void recorded(const std::string& name, std::uint64_t mod_revision);
     /// The removed machine's record was deleted.
     void record_dropped(const std::string& name) { dropping_.erase(name); }
+    /// The record's mod_revision is another than assumed.
     void set_mod_revision(const std::string& name, std::uint64_t mod_revision);
     /// Of a removed machine's record. `mod_revision` 0: there is no record any more.
     void set_dropped_mod_revision(const std::string& name, std::uint64_t mod_revision);
--- a/src/core/config.hpp
+++ b/src/core/config.hpp
@@ -14,6 +14,7 @@
 
 namespace bendspindle::core {
 
+/// Defaults are those of the tests; `config` sets what a deployment has.
 struct Config {
     std::string name;
     std::vector<std::string> zones;
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -34,6 +34,7 @@
 
 namespace bendspindle::core {
 
+/// The core of one leader for one term.
 class Controller {
   public:
     Controller(Config config, std::uint64_t term);
@@ -81,9 +82,7 @@
     /// Whether its acceptance here met a record that was there before.
     [[nodiscard]] bool found(const std::string& id) const;
     /// Marks a job as cancelled; its record is written next. False: it is done already or unknown.
-    bool cancel(const std::string& id, TimePoint now) {
-        return job_table_.cancel(id, now);
-    }
+    bool cancel(const std::string& id, TimePoint now) { return job_table_.cancel(id, now); }
     /// A write met the record of this terminal state in the key-value store.
     void finished_by_record(const std::string& id, TerminalState terminal_state, TimePoint now) {
         job_table_.finished_by_record(id, terminal_state, now);
--- a/src/core/model/agent_timings.hpp
+++ b/src/core/model/agent_timings.hpp
@@ -5,6 +5,7 @@
 
 namespace bendspindle::core {
 
+/// All of them are the same for each agent of a deployment.
 struct AgentTimings {
     Seconds heartbeat{3};  // between heartbeats
     Seconds lease{20};     // without a response for as long, an agent stops its tasks
--- a/src/core/model/machine_type.hpp
+++ b/src/core/model/machine_type.hpp
@@ -9,6 +9,7 @@
 
 namespace bendspindle::core {
 
+/// What such machines have, cost and take to boot, and the zones they are to be had in.
 struct MachineType {
     std::string name;
     Resources size;
--- a/src/core/model/resources.hpp
+++ b/src/core/model/resources.hpp
@@ -3,6 +3,7 @@
 
 namespace bendspindle::core {
 
+/// Cores, devices and memory.
 struct Resources {
     double cpus = 0;
     double gpus = 0;
--- a/src/core/model/service_level_objectives.hpp
+++ b/src/core/model/service_level_objectives.hpp
@@ -9,6 +9,7 @@
 
 namespace bendspindle::core {
 
+/// The times within which work is to start.
 struct ServiceLevelObjectives {
     std::map<std::string, Seconds> start_within;  // by class
     std::optional<Seconds> guaranteed_start;      // of work within a team's guarantee
--- a/src/core/model/team.hpp
+++ b/src/core/model/team.hpp
@@ -7,6 +7,7 @@
 
 namespace bendspindle::core {
 
+/// Its jobs together never use more than `limit`; what they ask for within `guaranteed` goes first.
 struct Team {
     std::string name;
     Resources guaranteed;
--- a/src/core/reconciliation/agent_counters.hpp
+++ b/src/core/reconciliation/agent_counters.hpp
@@ -5,6 +5,7 @@
 
 namespace bendspindle::core {
 
+/// They only grow.
 struct AgentCounters {
     std::uint64_t starts = 0;          // commanded
     std::uint64_t lost = 0;            // tasks that were gone, with or without their machine
--- a/src/core/reconciliation/agent_gateway.hpp
+++ b/src/core/reconciliation/agent_gateway.hpp
@@ -38,6 +38,7 @@
     std::vector<TaskCommand> commands;
 };
 
+/// Takes each message through the parts of reconciliation in their order.
 class AgentGateway {
   public:
     AgentGateway(const Config& config, const MachineCatalog& catalog, MachineInventory& inventory,
--- a/src/core/reconciliation/command_planner.hpp
+++ b/src/core/reconciliation/command_planner.hpp
@@ -24,6 +24,7 @@
 /// A command that concerns a reported task; a stop of this form leaves it no time to save.
 [[nodiscard]] TaskCommand command_for(TaskCommand::Verb verb, const ReportedTask& task);
 
+/// What it was given must outlive it.
 class CommandPlanner {
   public:
     CommandPlanner(const Config& config, const MachineCatalog& catalog, MachineInventory& inventory,
--- a/src/core/reconciliation/direct_commands.hpp
+++ b/src/core/reconciliation/direct_commands.hpp
@@ -28,6 +28,7 @@
 /// `unknown`: there was no answer, or none that says whether the commands were carried out.
 enum class CommandOutcome : std::uint8_t { executed, rejected, unknown };
 
+/// What it was given must outlive it. At most one call for each machine is under way.
 class DirectCommands {
   public:
     DirectCommands(MachineInventory& inventory, JobTable& job_table, CommandPlanner& commands,
--- a/src/core/reconciliation/failure_attribution.cpp
+++ b/src/core/reconciliation/failure_attribution.cpp
@@ -41,7 +41,7 @@
         later(now, std::min(longest_pause, first_pause * std::pow(2.0, doublings)));
 }
 
-// Guard against healthy machines returned for a mistake in a job: its tasks fail wherever they are
+// Guard against healthy machines released for a mistake in a job: its tasks fail wherever they are
 // started, and two such jobs were enough to speak against each machine they came by.
 void FailureAttribution::weigh(const Job& job, double weight) {
     for (const auto& name : job.failures.machines) {
--- a/src/core/reconciliation/failure_attribution.hpp
+++ b/src/core/reconciliation/failure_attribution.hpp
@@ -9,6 +9,7 @@
 
 namespace bendspindle::core {
 
+/// What it was given must outlive it.
 class FailureAttribution {
   public:
     explicit FailureAttribution(MachineInventory& inventory) : inventory_(inventory) {}
--- a/src/core/reconciliation/start_latency.hpp
+++ b/src/core/reconciliation/start_latency.hpp
@@ -1,5 +1,5 @@
 /// How long each job took from its acceptance to its start, and where that time went. Owner of the
-/// breakdowns not fetched yet; told by `Reconciliation` when a task is first seen running.
+/// breakdowns not fetched yet; updated by `Reconciliation` when a task is first seen running.
 #pragma once
 
 #include <cstdint>
@@ -28,6 +28,7 @@
     Seconds total() const { return record + room + saves + heartbeat + image; }
 };
 
+/// Each job is broken down once, when it starts for the first time in this term.
 class StartLatencyTracker {
   public:
     /// A task of the job was seen running for the first time.
--- a/src/core/reconciliation/task_reconciliation.hpp
+++ b/src/core/reconciliation/task_reconciliation.hpp
@@ -23,6 +23,7 @@
 
 namespace bendspindle::core {
 
+/// What it was given must outlive it.
 class Reconciliation {
   public:
     /// How a task list came: in a heartbeat, or in the answer to a direct call between two of them.
--- a/src/core/scheduling/capacity.hpp
+++ b/src/core/scheduling/capacity.hpp
@@ -1,5 +1,6 @@
-// What the machines there are add up to, and which part of that work takes: the common measure of
-// floors and of sharing, whatever resource the work asks for the most.
+/// What the machines there are add up to, and which part of that work takes: the common measure of
+/// fair-share minimums and of sharing, whatever resource the work asks for the most. Made anew for
+/// each `QuotaSnapshot`; holds a reference to the catalog.
 #pragma once
 
 #include <map>
@@ -13,14 +14,16 @@
 
 namespace bendspindle::core {
 
+/// Machines that have reported and are not draining, summed by group.
 class Capacity {
   public:
     Capacity(const MachineCatalog& catalog, const MachineInventory& inventory);
-    // Of the machines that such work may use, the part that this many tasks take; 1 is all. 0 where
-    // there is no such machine.
-    double share(const JobSpec& spec, std::size_t tasks) const;
+    /// Of the machines that such work may use, the part that this many tasks take; 1 is all. 0
+    /// where there is no such machine.
+    [[nodiscard]] double share(const JobSpec& spec, std::size_t tasks) const;
 
   private:
+    // Machines of one type, zone and kind.
     struct Group {
         std::size_t type;
         std::string zone;
--- a/src/core/scheduling/dsmf.cpp
+++ b/src/core/scheduling/dsmf.cpp
@@ -196,9 +196,9 @@
 }
 
 // RPM of an eligible job: wait, input and run time on the best candidate, plus the path behind.
-// Where no candidate is known, the fleet's averages stand in: no wait, run time only. Machines come
-// by their first release: once that alone is later than the best finish, only those with room now
-// can still be better.
+// Where no candidate is known, the averages of all machines stand in: no wait, run time only.
+// Machines come by their first release: once that alone is later than the best finish, only those
+// where it fits now can still be better.
 Seconds rpm_of(const EligibleJob& job, const std::vector<Machine>& machines,
                const std::vector<Outline>& outlines, double speed) {
     Seconds best = never;
@@ -309,7 +309,7 @@
     return jobs;
 }
 
-// Less than this is no room for any waiting job.
+// Less than this fits no waiting job.
 Resources least_need(const std::vector<Pipeline>& pipelines) {
     constexpr auto most = std::numeric_limits<double>::max();
     Resources least{most, most, most};
@@ -322,8 +322,8 @@
     return least;
 }
 
-// Only machines with some room within the cycle are looked at for binds: on a full day that is a
-// few of hundreds.
+// Only machines where something fits within the cycle are looked at for binds: on a full day that
+// is a few of hundreds.
 std::vector<std::size_t> machines_with_room(const std::vector<Machine>& machines,
                                             const Resources& least, Seconds cycle) {
     std::vector<std::size_t> open;
--- a/src/core/scheduling/dsmf.hpp
+++ b/src/core/scheduling/dsmf.hpp
@@ -1,9 +1,10 @@
-// Dynamic shortest makespan first: a pure function from a snapshot to decisions.
-//
-// Di and Wang, "Dual-phase Just-in-time Workflow Scheduling in P2P Grid Systems". Pipelines are
-// taken in order of shortest remaining makespan, the eligible tasks of one pipeline by longest
-// rest path makespan (RPM), and each task goes to the machine that finishes it the earliest.
-// docs/design.md says what was kept and what was changed.
+/// Dynamic shortest makespan first: a pure function from a snapshot to decisions. Called by
+/// `PlacementCycle`; knows neither the machines nor the jobs of the cluster, only their views.
+///
+/// Di and Wang, "Dual-phase Just-in-time Workflow Scheduling in P2P Grid Systems". Pipelines are
+/// taken in order of shortest remaining makespan, the eligible tasks of one pipeline by longest
+/// rest path makespan (RPM), and each task goes to the machine that finishes it the earliest.
+/// docs/design.md says what was kept and what was changed.
 #pragma once
 
 #include <algorithm>
@@ -19,8 +20,9 @@
 
 namespace bendspindle::core::dsmf {
 
-// One machine as the placing cycle sees it. Changed by `place` as tasks are bound to it.
+/// One machine as the placement cycle sees it. Changed by `place` as tasks are bound to it.
 struct Machine {
+    /// What a task gives back when it ends.
     struct Release {
         Seconds in{0};
         Resources room;
@@ -30,7 +32,7 @@
     Seconds fetch_queue{0};         // images this machine is still fetching
     std::vector<std::pair<ImageId, Seconds>> images;  // cached (0) or on its way, by arrival
     double fetch_gb_per_s = 1;
-    double speed = 1;  // relative to the fleet
+    double speed = 1;  // relative to all machines
     double cost = 0;   // breaks ties of finish time: cheaper first
     std::size_t zone = 0;
     std::size_t group = 0;  // machines of one type, zone and kind
@@ -42,7 +44,7 @@
     }
 };
 
-// One eligible job of a pipeline; its tasks share its RPM.
+/// One eligible job of a pipeline; its tasks share its RPM.
 struct EligibleJob {
     std::size_t job = 0;  // the caller's index
     std::uint32_t tasks = 0;
@@ -55,7 +57,7 @@
     Resources need;
     ImageId image = 0;
     double image_gb = 0;
-    Seconds run{0};            // expected run time of a task at fleet averages
+    Seconds run{0};            // expected run time of a task at the averages of all machines
     Seconds rest_after{0};     // longest expected path from this job's end to the pipeline's end
     std::vector<bool> groups;  // allowed groups of machines; empty: all
     std::vector<std::size_t> barred;  // machines on which it failed
@@ -66,14 +68,17 @@
     }
 };
 
+/// What is ordered as a whole.
 struct Pipeline {
     int rank = 0;  // the exceptions: services, guarantees, preemption order. Lower goes first
     std::vector<EligibleJob> eligible;
-    double stretch = 1;  // of its makespan, where it must share what there is (admission/sharing)
-    // Its gangs that find no room keep machines for themselves until all of them have opened.
+    double stretch =
+        1;  // of its makespan, where it must share what there is (fair_share/makespan_stretch)
+    // Its gangs that fit nowhere keep machines for themselves until all of them have opened.
     bool reserves = false;
 };
 
+/// A decision: one task of the job goes to the machine. Indices are those of what was given.
 struct Bind {
     std::size_t pipeline = 0;
     std::size_t job = 0;
@@ -83,6 +88,7 @@
     Seconds makespan{0};
 };
 
+/// All decisions of one call.
 struct Result {
     std::vector<std::size_t> reserved;  // machines kept for gangs of pipelines that reserve
     std::vector<Bind> binds;
@@ -91,18 +97,21 @@
     std::vector<Seconds> makespan;
 };
 
-// Rest path makespans of a graph of waits-on edges at fleet averages: per node, its own length
-// plus the longest path behind it. `waits_on[i]` lists what node i waits on.
-std::vector<Seconds> rest_paths(const std::vector<Seconds>& length,
-                                const std::vector<std::vector<std::size_t>>& waits_on,
-                                const std::vector<std::vector<Seconds>>& transfer);
+/// Rest path makespans of a graph of waits-on edges at the averages of all machines: per node, its
+/// own length plus the longest path behind it. `waits_on[i]` lists what node i waits on.
+[[nodiscard]] std::vector<Seconds> rest_paths(const std::vector<Seconds>& length,
+                                              const std::vector<std::vector<std::size_t>>& waits_on,
+                                              const std::vector<std::vector<Seconds>>& transfer);
 
-// The time until room for `need` opens, judged by running tasks; `max` if never.
-Seconds opens_in(const Machine& machine, const Resources& need);
-Seconds input_arrives(const Machine& machine, const EligibleJob& job);
-Seconds finish_time(const Machine& machine, const EligibleJob& job);
+/// The time until `need` fits, judged by running tasks; `max` if never.
+[[nodiscard]] Seconds opens_in(const Machine& machine, const Resources& need);
+/// The time until the job's image is there.
+[[nodiscard]] Seconds input_arrives(const Machine& machine, const EligibleJob& job);
+/// The time until a task of the job would end there; `max` if never.
+[[nodiscard]] Seconds finish_time(const Machine& machine, const EligibleJob& job);
 
-// Orders pipelines and binds their eligible tasks. Only room that opens within `cycle` counts.
-Result place(const std::vector<Pipeline>& pipelines, std::vector<Machine>& machines, Seconds cycle);
+/// Orders pipelines and binds their eligible tasks. Only what opens within `cycle` counts.
+[[nodiscard]] Result place(const std::vector<Pipeline>& pipelines, std::vector<Machine>& machines,
+                           Seconds cycle);
 
 }  // namespace bendspindle::core::dsmf
--- a/src/core/scheduling/placement_cycle.cpp
+++ b/src/core/scheduling/placement_cycle.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-// A job that has waited this long is owed its team's guarantee before urgent work of borrowers.
-constexpr Seconds owed_after{300};
+// A job that has waited this long gets its team's guarantee before urgent work of borrowers.
+constexpr Seconds starved_after{300};
 // A machine on which it has failed may have been mended, or be the only one.
-constexpr Seconds barred_for{60};
+constexpr Seconds excluded_for{60};
 
 }  // namespace
 
-void PlacementCycle::unbind_all(TimePoint now) {
+void PlacementCycle::withdraw_bound(TimePoint now) {
     for (auto& [serial, job] : job_table_.all()) {
         const bool gang = job->spec.kind == Kind::gang;
         // A gang that has begun to start keeps its places: its tasks share one attempt.
@@ -26,19 +26,19 @@
                 return entry.second.stage != Assignment::Stage::bound;
             }))
             continue;
-        std::vector<std::uint32_t> strike;
+        std::vector<std::uint32_t> withdrawn;
         for (const auto& [index, assignment] : job->assignments) {
             if (assignment.stage != Assignment::Stage::bound) continue;
             const auto* machine = inventory_.find(assignment.machine);
             const bool held =
                 assignment.reserved_until > now && machine && inventory_.usable(*machine, now);
-            if (!held) strike.push_back(index);
+            if (!held) withdrawn.push_back(index);
         }
-        if (gang && !strike.empty()) {
-            strike.clear();
-            for (const auto& [index, assignment] : job->assignments) strike.push_back(index);
+        if (gang && !withdrawn.empty()) {
+            withdrawn.clear();
+            for (const auto& [index, assignment] : job->assignments) withdrawn.push_back(index);
         }
-        for (const auto index : strike) job_table_.unassign(*job, index);
+        for (const auto index : withdrawn) job_table_.unassign(*job, index);
     }
 }
 
@@ -86,7 +86,7 @@
     return view;
 }
 
-void PlacementCycle::see_machines(Snapshot& snapshot, TimePoint now) {
+void PlacementCycle::snapshot_machines(Snapshot& snapshot, TimePoint now) {
     for (auto& [name, machine] : inventory_.all()) {
         if (!inventory_.usable(machine, now) || machine.lifecycle.draining_for_scale_in) continue;
         auto view = view_of(machine, now);
@@ -96,10 +96,12 @@
     }
 }
 
-// Guard against stopping in turn: under its floor, work without need of a GPU went before urgent
-// GPU work, onto GPU machines, where that stopped it again. A floor is filled where it holds.
-dsmf::EligibleJob PlacementCycle::eligible(const Job& job, std::uint32_t tasks, bool floored,
-                                           const Snapshot& snapshot, TimePoint now) const {
+// Guard against preemption in turn: within its fair-share minimum, work without need of a GPU went
+// before urgent GPU work, onto GPU machines, where that preempted it again. A minimum is filled
+// where it protects.
+dsmf::EligibleJob PlacementCycle::eligible(const Job& job, std::uint32_t tasks,
+                                           bool under_minimum_share, const Snapshot& snapshot,
+                                           TimePoint now) const {
     dsmf::EligibleJob out;
     out.job = snapshot.jobs.size();
     out.tasks = tasks;
@@ -120,32 +122,32 @@
         for (const auto& zone : config_.zones)
             for (const bool spot : {false, true})
                 out.groups.push_back(allowed(job.spec, type.name, zone, spot) &&
-                                     (!floored || catalog_.suits(job.spec, type)));
-    if (job.failures.tries_in_a_row > 0 && between(job.failures.last_at, now) < barred_for)
-        out.barred = barred(job, snapshot);
+                                     (!under_minimum_share || catalog_.suits(job.spec, type)));
+    if (job.failures.tries_in_a_row > 0 && between(job.failures.last_at, now) < excluded_for)
+        out.barred = excluded(job, snapshot);
     return out;
 }
 
 // The next try goes elsewhere. Guard against no next try: a gang that failed on many machines had
-// too few left, and since there were machines enough none was rented for it.
-std::vector<std::size_t> PlacementCycle::barred(const Job& job, const Snapshot& snapshot) const {
+// too few left, and since there were machines enough none was scaled out for it.
+std::vector<std::size_t> PlacementCycle::excluded(const Job& job, const Snapshot& snapshot) const {
     std::vector<std::size_t> out;
-    std::size_t allowed_ones = 0;
+    std::size_t allowed_machines = 0;
     for (std::size_t m = 0; m < snapshot.machines.size(); ++m) {
         if (!inventory_.allows(job.spec, *snapshot.machines[m])) continue;
-        ++allowed_ones;
+        ++allowed_machines;
         if (snapshot.machines[m]->failures.weight_by_job.contains(job.spec.id)) out.push_back(m);
     }
-    if (out.size() * 2 > allowed_ones) out.clear();
+    if (out.size() * 2 > allowed_machines) out.clear();
     return out;
 }
 
-void PlacementCycle::share_out(Snapshot& snapshot, const QuotaSnapshot& quota) const {
+void PlacementCycle::stretch_makespans(Snapshot& snapshot, const QuotaSnapshot& quota) const {
     std::map<int, double> used;
     for (const auto& [serial, job] : job_table_.all())
         if (!job->is_terminal() && !job->assignments.empty())
             used[quota.rank(*job)] += quota.share(*job, job->assignments.size());
-    std::vector<fair_share::Asking> asking;
+    std::vector<fair_share::PipelineDemand> asking;
     for (std::size_t p = 0; p < snapshot.pipelines.size(); ++p) {
         const auto& pipeline = snapshot.pipelines[p];
         const auto tasks = pipeline.eligible.front().tasks;
@@ -155,7 +157,8 @@
     for (std::size_t p = 0; p < factors.size(); ++p) snapshot.pipelines[p].stretch = factors[p];
 }
 
-void PlacementCycle::see_jobs(Snapshot& snapshot, const QuotaSnapshot& quota, TimePoint now) const {
+void PlacementCycle::snapshot_jobs(Snapshot& snapshot, const QuotaSnapshot& quota,
+                                   TimePoint now) const {
     for (const auto& [serial, job] : job_table_.all()) {
         if (job->is_terminal() || !job->record.durable || job->failures.retry_not_before > now)
             continue;
@@ -164,17 +167,19 @@
         const auto idle = job->idle_count();
         if (idle == 0 || inventory_.may_have_unfenced_tasks(*job)) continue;
         if (!job->starvation.waiting_since) job->starvation.waiting_since = now;
-        if (between(*job->starvation.waiting_since, now) > owed_after)
+        if (between(*job->starvation.waiting_since, now) > starved_after)
             job->starvation.starved = true;
         const auto tried = job->tasks_tried_at_once();
         if (!gang && job->progress.placed >= tried) continue;
-        const auto room = std::min(quota.room(*job), gang ? idle : tried - job->progress.placed);
-        if (room == 0 || (gang && room < idle)) continue;
+        const auto tasks =
+            std::min(quota.remaining_tasks(*job), gang ? idle : tried - job->progress.placed);
+        if (tasks == 0 || (gang && tasks < idle)) continue;
         dsmf::Pipeline pipeline;
         pipeline.rank = quota.rank(*job);
-        const bool floored = quota.floored(*job);
-        pipeline.reserves = floored;
-        pipeline.eligible.push_back(eligible(*job, std::min(idle, room), floored, snapshot, now));
+        const bool under_minimum_share = quota.under_minimum_share(*job);
+        pipeline.reserves = under_minimum_share;
+        pipeline.eligible.push_back(
+            eligible(*job, std::min(idle, tasks), under_minimum_share, snapshot, now));
         snapshot.pipelines.push_back(std::move(pipeline));
         snapshot.jobs.push_back(job.get());
     }
@@ -189,31 +194,32 @@
         // Limits are counted again bind by bind: pipelines of one team share what is left.
         if (job.spec.kind == Kind::gang) {
             const auto [it, first] = gang_attempts.try_emplace(&job, 0);
-            if (first && quota.room(job) >= job.spec.tasks) it->second = job_table_.next_attempt();
+            if (first && quota.remaining_tasks(job) >= job.spec.tasks)
+                it->second = job_table_.next_attempt();
             if (it->second == 0) continue;
             assignment.attempt = it->second;
         } else {
-            if (quota.room(job) < 1) continue;
+            if (quota.remaining_tasks(job) < 1) continue;
             assignment.attempt = job_table_.next_attempt();
         }
         assignment.rank = snapshot.pipelines[decision.pipeline].rank;
         assignment.makespan = decision.makespan;
         assignment.rpm = decision.rpm;
-        job.starvation.started_under_minimum_share |= quota.floored(job);
+        job.starvation.started_under_minimum_share |= quota.under_minimum_share(job);
         job_table_.bind(job, *snapshot.machines[decision.machine], assignment, now);
         quota.take(job);
     }
 }
 
 void PlacementCycle::cycle(TimePoint now) {
-    unbind_all(now);
+    withdraw_bound(now);
     break_partial_gangs();
     auto quota = quota_accounting_.snapshot(now);
     Snapshot snapshot;
-    see_machines(snapshot, now);
-    see_jobs(snapshot, quota, now);
+    snapshot_machines(snapshot, now);
+    snapshot_jobs(snapshot, quota, now);
     if (snapshot.pipelines.empty()) return;
-    share_out(snapshot, quota);
+    stretch_makespans(snapshot, quota);
     const auto result = dsmf::place(snapshot.pipelines, snapshot.views, config_.cycle);
     bind(result, snapshot, quota, now);
     std::vector<Job*> waiting;
@@ -221,7 +227,7 @@
         if (snapshot.jobs[p]->idle_count() > 0) waiting.push_back(snapshot.jobs[p]);
     std::set<const Machine*> reserved;
     for (const auto m : result.reserved) reserved.insert(snapshot.machines[m]);
-    preemption_.make_room(waiting, reserved, quota, now);
+    preemption_.preempt_for(waiting, reserved, quota, now);
 }
 
 }  // namespace bendspindle::core
--- a/src/core/scheduling/placement_cycle.hpp
+++ b/src/core/scheduling/placement_cycle.hpp
@@ -1,5 +1,9 @@
-// The placing cycle: a snapshot for DSMF, its decisions taken over, then preemption for what is
-// left waiting. Decides where tasks go on the ordinary path, and nothing else does.
+/// The placement cycle: a snapshot for DSMF, its decisions taken over, then preemption for what is
+/// left waiting. Called by `Controller`. Decides where tasks go on the ordinary path, and nothing
+/// else does; it binds only, and starts are `CommandPlanner`'s.
+///
+/// What is bound and not commanded is withdrawn and decided anew in each cycle, but for
+/// reservations made by preemption and gangs that have begun to start.
 #pragma once
 
 #include <vector>
@@ -16,6 +20,7 @@
 
 namespace bendspindle::core {
 
+/// What it was given must outlive it.
 class PlacementCycle {
   public:
     PlacementCycle(const Config& config, const MachineCatalog& catalog, MachineInventory& inventory,
@@ -29,6 +34,7 @@
           quota_accounting_(quota_accounting),
           preemption_(preemption) {}
 
+    /// One cycle. The catalog must be known.
     void cycle(TimePoint now);
 
   private:
@@ -39,17 +45,17 @@
         std::vector<Job*> jobs;
         std::vector<dsmf::Pipeline> pipelines;
     };
-    void unbind_all(TimePoint now);
+    void withdraw_bound(TimePoint now);
     void break_partial_gangs();
     dsmf::Machine view_of(const Machine& machine, TimePoint now) const;
-    void see_machines(Snapshot& snapshot, TimePoint now);
-    void see_jobs(Snapshot& snapshot, const QuotaSnapshot& quota, TimePoint now) const;
-    dsmf::EligibleJob eligible(const Job& job, std::uint32_t tasks, bool floored,
+    void snapshot_machines(Snapshot& snapshot, TimePoint now);
+    void snapshot_jobs(Snapshot& snapshot, const QuotaSnapshot& quota, TimePoint now) const;
+    dsmf::EligibleJob eligible(const Job& job, std::uint32_t tasks, bool under_minimum_share,
                                const Snapshot& snapshot, TimePoint now) const;
     // Machines on which it has failed.
-    std::vector<std::size_t> barred(const Job& job, const Snapshot& snapshot) const;
+    std::vector<std::size_t> excluded(const Job& job, const Snapshot& snapshot) const;
     // Stretches makespans where more is asked for than there is.
-    void share_out(Snapshot& snapshot, const QuotaSnapshot& quota) const;
+    void stretch_makespans(Snapshot& snapshot, const QuotaSnapshot& quota) const;
     void bind(const dsmf::Result& result, const Snapshot& snapshot, QuotaSnapshot& quota,
               TimePoint now);
 
--- a/src/core/scheduling/quota_accounting.cpp
+++ b/src/core/scheduling/quota_accounting.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr int service_step = 100;
-constexpr int floors_from = 10;  // between services and everything else
-constexpr int floors_to = 90;
+constexpr int minimum_share_from = 10;  // between services and everything else
+constexpr int minimum_share_to = 90;
 constexpr int guarantee_step = 10;
 
 bool beyond(double used, double limit) {
@@ -21,24 +21,24 @@
 QuotaSnapshot QuotaAccounting::snapshot(TimePoint now) const {
     QuotaSnapshot out(config_, Capacity(catalog_, inventory_));
     for (const auto& team : config_.teams) out.use_[team.name] = Resources{};
-    std::map<std::string, Resources> claimed;
+    std::map<std::string, Resources> asked_for;
     for (const auto& [serial, job] : job_table_.all()) {
         out.use_[job->spec.team] += job->spec.need * static_cast<double>(job->assignments.size());
         if (job->is_terminal()) continue;
-        auto& claim = claimed[job->spec.team];
-        claim += job->spec.need * static_cast<double>(job->spec.tasks - job->progress.finished);
+        auto& asked = asked_for[job->spec.team];
+        asked += job->spec.need * static_cast<double>(job->spec.tasks - job->progress.finished);
         const auto* team = config_.team(job->spec.team);
         if (!team) continue;
         const auto& mine = team->guaranteed;
         if (mine.cpus <= 0 && mine.gpus <= 0) continue;
-        if (beyond(claim.cpus, mine.cpus) || beyond(claim.gpus, mine.gpus)) continue;
+        if (beyond(asked.cpus, mine.cpus) || beyond(asked.gpus, mine.gpus)) continue;
         out.guaranteed_.insert(serial);
     }
-    // Guard against `quota` after a takeover: what an unconfirmed machine runs is not known, so
+    // Guard against quota after a failover: what a machine runs that is not fenced is not known, so
     // all of it counts against every team.
     for (const auto& [name, machine] : inventory_.all()) {
-        // Guard: nor is it known whose the tasks of jobs are that were over before the takeover. A
-        // team at its limit was given the room of a cancelled job before that had left.
+        // Guard against quota: nor is it known whose the orphaned tasks are. A team at its limit
+        // was given what a cancelled job still used.
         if (machine.fencing.confirmed && machine.untracked.has_unknown_tasks)
             for (auto& [team, use] : out.use_) use += machine.untracked.resources;
         if (machine.fencing.confirmed || !machine.record.durable) continue;
@@ -47,49 +47,51 @@
             use += machine.identity.type_known ? catalog_[machine.identity.type].size
                                                : catalog_.largest();
     }
-    fill_floors(out, now);
+    fill_minimum_shares(out, now);
     return out;
 }
 
-void QuotaAccounting::fill_floors(QuotaSnapshot& quota, TimePoint now) const {
-    std::vector<fair_share::Holding> holdings;
+void QuotaAccounting::fill_minimum_shares(QuotaSnapshot& quota, TimePoint now) const {
+    std::vector<fair_share::JobShare> job_shares;
     std::vector<std::uint64_t> serials;
     for (const auto& [serial, job] : job_table_.all()) {
         if (job->is_terminal() || !job->record.durable) continue;
-        fair_share::Holding holding;
-        holding.job_class = job->spec.job_class;
-        holding.team = job->spec.team;
-        holding.used = quota.share(*job, job->assignments.size());
-        holding.waiting = quota.share(*job, job->idle_count());
+        fair_share::JobShare job_share;
+        job_share.job_class = job->spec.job_class;
+        job_share.team = job->spec.team;
+        job_share.used = quota.share(*job, job->assignments.size());
+        job_share.waiting = quota.share(*job, job->idle_count());
         if (job->starvation.waiting_since)
-            holding.waited = between(*job->starvation.waiting_since, now);
-        holding.kept = job->starvation.started_under_minimum_share;
-        holdings.push_back(holding);
+            job_share.waited = between(*job->starvation.waiting_since, now);
+        job_share.kept = job->starvation.started_under_minimum_share;
+        job_shares.push_back(job_share);
         serials.push_back(serial);
     }
-    const auto floored = fair_share::floors(holdings, config_.floors);
-    // Guard: under their floors jobs go by age. By makespan, jobs of a class that is served beyond
-    // its floor most of the time kept a long one of another class out at each turn.
-    int rank = floors_from;
+    const auto shares = fair_share::assign_minimum_shares(job_shares, config_.floors);
+    // Guard against starving: within their minimums jobs go by age. By makespan, jobs of a class
+    // that is served beyond its minimum most of the time kept a long one of another out at each
+    // turn.
+    int rank = minimum_share_from;
     for (std::size_t i = 0; i < serials.size(); ++i) {
-        if (floored.class_shelters[i]) quota.class_shelters_.insert(serials[i]);
-        if (floored.team_shelters[i]) quota.team_shelters_.insert(serials[i]);
-        if (floored.jobs[i]) {
-            quota.floored_.emplace(serials[i], rank);
-            if (holdings[i].waiting > 0) rank = std::min(rank + 1, floors_to);
+        if (shares.class_protected[i]) quota.class_protected_.insert(serials[i]);
+        if (shares.team_protected[i]) quota.team_protected_.insert(serials[i]);
+        if (shares.jobs[i]) {
+            quota.under_minimum_share_.emplace(serials[i], rank);
+            if (job_shares[i].waiting > 0) rank = std::min(rank + 1, minimum_share_to);
         }
     }
 }
 
 int QuotaSnapshot::rank(const Job& job) const {
     int rank = job.spec.kind == Kind::service ? 0 : service_step;
-    if (const auto it = floored_.find(job.serial); it != floored_.end() && rank > 0)
+    if (const auto it = under_minimum_share_.find(job.serial);
+        it != under_minimum_share_.end() && rank > 0)
         return it->second;
     if (!guaranteed(job)) rank += guarantee_step;
     return rank + static_cast<int>(Priority::production) - static_cast<int>(job.spec.priority);
 }
 
-std::uint32_t QuotaSnapshot::room(const Job& job) const {
+std::uint32_t QuotaSnapshot::remaining_tasks(const Job& job) const {
     const auto* team = config_.team(job.spec.team);
     if (!team) return 0;
     const auto& use = use_.at(job.spec.team);
--- a/src/core/write_queue.hpp
+++ b/src/core/write_queue.hpp
@@ -29,6 +29,7 @@
     ListedMachine machine;
 };
 
+/// What it was given must outlive it.
 class WriteQueue {
   public:
     WriteQueue(const Config& config, MachineInventory& inventory, JobTable& job_table)
--- a/src/fair_share/makespan_stretch.cpp
+++ b/src/fair_share/makespan_stretch.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-std::vector<double> stretch(const std::vector<Asking>& pipelines,
+std::vector<double> stretch(const std::vector<PipelineDemand>& pipelines,
                             const std::map<int, double>& used) {
     struct Rank {
         double used = 0;
--- a/tests/dsmf_test.cpp
+++ b/tests/dsmf_test.cpp
@@ -4,6 +4,7 @@
 
 #include <optional>
 #include <random>
+#include <tuple>
 
 namespace bendspindle::core::dsmf {
 namespace {
@@ -156,7 +157,7 @@
         one.gang = one.one_zone = false;
         one.barred.clear();
         std::vector<Machine> alone{machines[m]};
-        place({Pipeline{0, {one}}}, alone, cycle);
+        std::ignore = place({Pipeline{0, {one}}}, alone, cycle);
         machines[m] = alone[0];
         return finish;
     }
--- a/tests/new_leader_test.cpp
+++ b/tests/new_leader_test.cpp
@@ -1,5 +1,6 @@
-// A leader that follows one that has confirmed cancellations: the jobs are over and not loaded, and
-// whoever renews the lease of a machine that holds their tasks has to order the stops.
+// A leader that follows one that has confirmed cancellations: the jobs are in a terminal state and
+// not loaded, and whoever renews the lease of a machine that runs their tasks has to command the
+// stops.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -40,7 +41,7 @@
         out.need = {1, 0, 1};
         return out;
     }
-    // A report of m1, on which a task of job-1 runs.
+    // A heartbeat of m1, on which a task of job-1 runs.
     static Heartbeat heartbeat(std::uint64_t fencing_token, std::uint64_t sequence) {
         Heartbeat out;
         out.machine = "m1";
@@ -62,26 +63,26 @@
     Controller controller_;
 };
 
-TEST_F(Successor, StopsWhatIsOverInItsFirstAnswer) {
+TEST_F(Successor, StopsOrphanedTasksInItsFirstResponse) {
     const auto answer = controller_.heartbeat(heartbeat(term - 1, 1), start);
     EXPECT_TRUE(answer.entitled);
     EXPECT_EQ(stops(answer.commands), 1U);
 }
 
-TEST_F(Successor, LeavesOpenJobsAloneInItsFirstAnswer) {
+TEST_F(Successor, LeavesOpenJobsAloneInItsFirstResponse) {
     controller_.load_job({spec(), "c0", {}, 0, {}, TerminalState::none}, 4, start);
     EXPECT_EQ(stops(controller_.heartbeat(heartbeat(term - 1, 1), start).commands), 0U);
     EXPECT_EQ(stops(controller_.heartbeat(heartbeat(term, 2), start).commands), 0U);
 }
 
-// A job whose record cannot be read is not known to be over.
-TEST_F(Successor, LeavesJobsSetAsideAlone) {
+// A job whose record cannot be read is not known to be in a terminal state.
+TEST_F(Successor, LeavesQuarantinedJobsAlone) {
     controller_.quarantine("job-1");
     EXPECT_EQ(stops(controller_.heartbeat(heartbeat(term - 1, 1), start).commands), 0U);
     EXPECT_TRUE(controller_.jobs_to_end().empty());
 }
 
-TEST_F(Successor, RepeatsAStopInEachAnswerUntilTheTaskIsGone) {
+TEST_F(Successor, RepeatsAStopInEachResponseUntilTheTaskIsGone) {
     for (std::uint64_t sequence = 1; sequence < 5; ++sequence)
         EXPECT_EQ(stops(controller_.heartbeat(heartbeat(term, sequence), start).commands), 1U)
             << sequence;
@@ -96,9 +97,9 @@
             << sequence;
 }
 
-// The answer to a direct call is newer than a report that is still on its way, but the worker takes
-// the answer to the report as a renewal all the same.
-TEST_F(Successor, StopsInTheAnswerToAnOvertakenReport) {
+// The answer to a direct call is newer than a heartbeat that is still on its way, but the agent
+// takes the response to the heartbeat as a renewal all the same.
+TEST_F(Successor, StopsInTheResponseToAnOvertakenHeartbeat) {
     const auto calls = controller_.direct_commands(start);
     ASSERT_EQ(calls.size(), 1U);
     const auto newer = heartbeat(term, 9);
@@ -106,9 +107,9 @@
     EXPECT_EQ(stops(controller_.heartbeat(heartbeat(term, 8), start).commands), 1U);
 }
 
-// Its word to followers says that it is complete once all machines are confirmed; a direct answer
-// confirms too.
-TEST_F(Successor, NamesWhatIsOverOnMachinesAskedByDirectCall) {
+// Its cancellation snapshot for followers says that it is complete once all machines are fenced;
+// the answer to a direct call fences, too.
+TEST_F(Successor, NamesOrphanedJobsOnMachinesCalledDirectly) {
     const auto calls = controller_.direct_commands(start);
     ASSERT_EQ(calls.size(), 1U);
     const auto seen = heartbeat(term, 1);
