--- a/tests/standin/simulated_cluster_scenario.cpp
+++ b/tests/standin/simulated_cluster_scenario.cpp
@@ -366,7 +366,7 @@
         // Machines.
         {"fenced",
          [](Cluster& c, const Arguments& a) {
-             return c.controller_->machines().at(a.at(2)).confirmed == a.yes_at(3);
+             return c.controller_->machines().at(a.at(2)).fencing.confirmed == a.yes_at(3);
          }},
         {"agent-epoch",
          [](Cluster& c, const Arguments& a) {
