--- a/src/leadership/leader_elector.cpp
+++ b/src/leadership/leader_elector.cpp
@@ -27,8 +27,6 @@
 constexpr double renewals_per_lease = 4;
 // Beyond the rest of its own lease, with which its leader key expires.
 constexpr milliseconds yield_time{2000};
-// As the revision in a condition of compare-and-swap: the key must not exist.
-constexpr std::uint64_t key_absent = 0;
 // As the revision that a watch goes on from: there is none, the key has to be listed first.
 constexpr std::uint64_t nothing_known = 0;
 
@@ -50,7 +48,8 @@
       lease_time_(lease),
       events_(std::move(events)),
       clock_(std::move(clock)),
-      incarnation_(random_incarnation()) {}
+      incarnation_(random_incarnation()),
+      leadership_store_(store, name_, incarnation_) {}
 
 LeadershipStatus LeaderElector::status() const {
     const std::lock_guard lock(mutex_);
@@ -135,7 +134,7 @@
     }
     auto lease = held;
     if (!held)
-        lease = grant_lease();
+        lease = leadership_store_.grant_lease(duration_cast<milliseconds>(lease_time_));
     else if (!keep_alive(*held))
         return;
     if (!lease) return;
@@ -149,17 +148,6 @@
     next_renewal_ = sent + duration_cast<milliseconds>(lease_time_ / renewals_per_lease);
 }
 
-// A new lease with this controller's own key under it; none if either failed.
-std::optional<std::uint64_t> LeaderElector::grant_lease() {
-    const auto granted = store_.grant_lease(duration_cast<milliseconds>(lease_time_));
-    if (!granted) return std::nullopt;
-    const auto put = store_.compare_and_swap(
-        {},
-        {{state::keys::controller(name_), wire::Value{{"incarnation", incarnation_}}, *granted}});
-    if (put.outcome != state::StoreStatus::ok) return std::nullopt;
-    return granted;
-}
-
 // Whether the lease was renewed and is still that of the leader key, while leading.
 bool LeaderElector::keep_alive(std::uint64_t lease) {
     const auto outcome = store_.keep_alive(lease);
@@ -174,42 +162,29 @@
     // (LeaderElectorRestart.AFormerIncarnationThatResumesStepsDownAndReclaimsNothing).
     const auto now = status();
     if (!now.leading) return true;
-    const auto owned = owns_leader_key(now.leader_key_revision);
+    const auto owned = leadership_store_.owns_leader_key(now.leader_key_revision);
     if (!owned) return false;
     if (!*owned) step_down("leader_key_replaced");
     return *owned;
 }
 
-// None: not known, the store did not answer.
-std::optional<bool> LeaderElector::owns_leader_key(std::uint64_t mod_revision) {
-    const auto key = store_.get(state::keys::leader);
-    if (key.outcome == state::StoreStatus::absent) return false;
-    if (key.outcome != state::StoreStatus::ok) return std::nullopt;
-    return key.entry.mod_revision == mod_revision;
-}
-
 // None if there is nothing to decide on: the key is known already, or the store did not answer, or
 // the record cannot be read.
 std::optional<LeaderElector::StoredLeadership> LeaderElector::read_leadership() {
-    StoredLeadership stored;
-    const auto leader = store_.get(state::keys::leader);
-    if (leader.outcome == state::StoreStatus::ok) {
-        const auto& entry = leader.entry;
-        stored.key =
-            LeaderKey{entry.value.value("name", std::string()), entry.lease, entry.mod_revision};
+    auto leader = leadership_store_.read_leader_key();
+    if (leader.key) {
         const std::lock_guard lock(mutex_);
-        if (entry.mod_revision == leader_key_seen_) return std::nullopt;
-    } else if (leader.outcome != state::StoreStatus::absent) {
+        if (leader.key->mod_revision == leader_key_seen_) return std::nullopt;
+    } else if (leader.status != state::StoreStatus::absent) {
         return std::nullopt;
     }
-    const auto record = store_.get(state::keys::leadership_record);
-    if (record.outcome == state::StoreStatus::absent) return stored;
-    if (record.outcome != state::StoreStatus::ok) return std::nullopt;
-    stored.record = wire::parse_leadership_record(record.entry.value);
-    stored.record_revision = record.entry.mod_revision;
-    if (stored.record) return stored;
-    io::log::error("leadership_record_unreadable", "key", state::keys::leadership_record);
-    return std::nullopt;
+    auto read = leadership_store_.read_record();
+    using Status = LeadershipRecordRead::Status;
+    if (read.status == Status::unreadable)
+        io::log::error("leadership_record_unreadable", "key", state::keys::leadership_record);
+    if (read.status == Status::unreadable || read.status == Status::unavailable)
+        return std::nullopt;
+    return StoredLeadership{std::move(leader.key), std::move(read.record), read.mod_revision};
 }
 
 void LeaderElector::check_leadership() {
@@ -262,14 +237,8 @@
     const auto& former = stored.key;
     const wire::LeadershipRecord next{stored.record ? stored.record->term + 1 : 1, name_,
                                       next_consecutive_restarts(stored.record, self)};
-    // Under the new lease in the same step: the key is never gone, so no other controller is
-    // elected without knowing of the former incarnation that may still run.
-    const auto cas_result = store_.compare_and_swap(
-        {{state::keys::leader, former ? former->mod_revision : key_absent},
-         {state::keys::leadership_record, stored.record_revision}},
-        {{state::keys::leader, wire::Value{{"name", name_}, {"incarnation", incarnation_}},
-          self.lease},
-         {state::keys::leadership_record, wire::leadership_record(next), std::nullopt}});
+    const auto cas_result =
+        leadership_store_.write_election(former, stored.record_revision, next, self.lease);
     if (cas_result.outcome == state::StoreStatus::unknown) abandon_lease(self.lease);
     if (cas_result.outcome != state::StoreStatus::ok) return;
     if (!record_election(stored, self, next, cas_result.revision)) return;
@@ -334,10 +303,8 @@
         return;
     auto settled = written_record_;
     settled.consecutive_restarts = 0;
-    const auto cas_result = store_.compare_and_swap(
-        {{state::keys::leader, now.leader_key_revision},
-         {state::keys::leadership_record, written_record_revision_}},
-        {{state::keys::leadership_record, wire::leadership_record(settled), std::nullopt}});
+    const auto cas_result = leadership_store_.replace_record(now.leader_key_revision,
+                                                             written_record_revision_, settled);
     // A conflict: this very write was committed unnoticed, or another controller leads.
     if (cas_result.outcome == state::StoreStatus::ok ||
         cas_result.outcome == state::StoreStatus::conflict)
--- a/src/leadership/leader_elector.hpp
+++ b/src/leadership/leader_elector.hpp
@@ -19,6 +19,7 @@
 #include "io/clock.hpp"
 #include "leadership/election.hpp"
 #include "leadership/leadership.hpp"
+#include "leadership/leadership_store.hpp"
 #include "state/key_value_store.hpp"
 
 namespace bendspindle::leadership {
@@ -86,9 +87,7 @@
     };
 
     void renew_lease();
-    std::optional<std::uint64_t> grant_lease();
     bool keep_alive(std::uint64_t lease);
-    std::optional<bool> owns_leader_key(std::uint64_t mod_revision);
     std::optional<StoredLeadership> read_leadership();
     void follow(const StoredLeadership& stored);
     void become_leader(const StoredLeadership& stored, const Candidate& self);
@@ -109,6 +108,7 @@
     const Events events_;
     const io::ClockFunction clock_;
     const std::uint64_t incarnation_;  // a random number for this process
+    LeadershipStore leadership_store_;
 
     // Guards the members up to the next empty line; held across no call out.
     mutable std::mutex mutex_;
