--- a/scale/cloud.cpp
+++ b/scale/cloud.cpp
@@ -15,11 +15,11 @@
 
 }  // namespace
 
-Cloud::Cloud(EventLoop& loop, const ScaleSettings& settings, WorkerFleet& fleet,
-             WorkerFleet::Random& random)
+Cloud::Cloud(EventLoop& loop, const ScaleSettings& settings, SimulatedAgents& agents,
+             SimulatedAgents::Random& random)
     : loop_(loop),
       settings_(settings),
-      fleet_(fleet),
+      agents_(agents),
       random_(random),
       listener_(loop, static_cast<std::uint16_t>(settings.cloud_port()),
                 [this](const HttpMessage& request, std::uint32_t) { return serve(request); }) {}
@@ -37,12 +37,12 @@
         const auto& zone = settings_.zones[static_cast<std::size_t>(i) % settings_.zones.size()];
         const auto name = add(zone.name);
         machines_[name].stage = "running";
-        fleet_.add(name, zone.name);
+        agents_.add(name, zone.name);
     }
 }
 
 void Cloud::lose(const std::string& name) {
-    if (!fleet_.remove(name)) return;
+    if (!agents_.remove(name)) return;
     loop_.at(Clock::now() + dead_runs_for, [this, name] {
         const auto it = machines_.find(name);
         if (it == machines_.end()) return;
@@ -93,7 +93,7 @@
             const auto it = machines_.find(name);
             if (it == machines_.end()) return;
             it->second.stage = "running";
-            fleet_.add(name, zone);
+            agents_.add(name, zone);
         });
     }
     if (names.empty()) return {503, wire::to_cbor({{"error", "no capacity"}})};
@@ -107,7 +107,7 @@
     for (const auto& name : body.value("spindles", Value::array())) {
         const auto it = machines_.find(name.get<std::string>());
         if (it == machines_.end()) continue;
-        fleet_.remove(it->first);
+        agents_.remove(it->first);
         if (it->second.stage != "failed") --charged_;
         machines_.erase(it);
         ++released_;
--- a/scale/cloud.hpp
+++ b/scale/cloud.hpp
@@ -7,9 +7,9 @@
 #include <vector>
 
 #include "event_loop.hpp"
-#include "fleet.hpp"
 #include "http.hpp"
 #include "settings.hpp"
+#include "simulated_agents.hpp"
 #include "wire/cbor.hpp"
 
 namespace bendspindle::scale {
@@ -17,8 +17,8 @@
 /// Rents, lists and releases. Machines are in its list as of some moment within the list's lag.
 class Cloud {
   public:
-    Cloud(EventLoop& loop, const ScaleSettings& settings, WorkerFleet& fleet,
-          WorkerFleet::Random& random);
+    Cloud(EventLoop& loop, const ScaleSettings& settings, SimulatedAgents& agents,
+          SimulatedAgents::Random& random);
 
     /// The machines that are up when the run begins, spread over the zones.
     void begin(int count);
@@ -46,8 +46,8 @@
 
     EventLoop& loop_;
     const ScaleSettings& settings_;
-    WorkerFleet& fleet_;
-    WorkerFleet::Random& random_;
+    SimulatedAgents& agents_;
+    SimulatedAgents::Random& random_;
     int numbers_ = 0;
     int charged_ = 0;
     std::uint64_t rented_ = 0;
--- a/scale/controllers.cpp
+++ b/scale/controllers.cpp
@@ -96,7 +96,7 @@
     std::ofstream(process.file) << all.dump();
 }
 
-// The fleet's size is the run's: idle machines stay.
+// The agents's size is the run's: idle machines stay.
 void Controllers::write_operator_settings() {
     std::ofstream(directory_ / "operator") << "((idle-return-s 100000))\n";
 }
--- a/scale/event_loop.hpp
+++ b/scale/event_loop.hpp
@@ -1,6 +1,6 @@
 // One thread's sockets and timers.
 //
-// The project uses threads and blocking sockets as a rule. Hollow workers are the exception: ten
+// The project uses threads and blocking sockets as a rule. Simulated agents are the exception: ten
 // thousand of them share one process, each with a connection and several timers, and a thread each
 // would measure the machine's scheduler instead of the controllers.
 #pragma once
--- a/scale/http.hpp
+++ b/scale/http.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 for the event loop: what hollow workers, the cloud's stand-in and users need of it.
+// HTTP/1.1 for the event loop: what simulated agents, the cloud's stand-in and users need of it.
 //
 // cpp-httplib, which the rest of the project uses, blocks a thread for each connection. Bodies
 // have a length here; chunked ones, which nobody in the protocol sends, are refused.
@@ -97,7 +97,7 @@
 };
 
 /// A listening port and its connections. It listens on all addresses of loopback, so that each
-/// hollow worker has an address of its own, and turns away whoever comes from elsewhere.
+/// simulated agent has an address of its own, and turns away whoever comes from elsewhere.
 class HttpListener {
   public:
     /// The answer's status and body; nullopt: no answer, as from a machine that hangs.
--- a/scale/measure.cpp
+++ b/scale/measure.cpp
@@ -52,12 +52,12 @@
     : measured_(measured), begun_(now), last_at_(now), first_(snapshot()), last_(first_) {}
 
 Measure::Snapshot Measure::snapshot() {
-    Snapshot out{measured_.fleet.counts(),
+    Snapshot out{measured_.agents.counts(),
                  measured_.users.counts(),
-                 measured_.workplace.counts(),
+                 measured_.oracle.counts(),
                  measured_.users.traffic().bytes_in,
                  measured_.users.traffic().bytes_out,
-                 measured_.fleet.renewals_by(),
+                 measured_.agents.renewals_by(),
                  {},
                  {}};
     for (int i = 0; i < measured_.controllers.count(); ++i) {
@@ -70,9 +70,9 @@
 void Measure::begin(TimePoint now) {
     begun_ = last_at_ = now;
     first_ = last_ = snapshot();
-    measured_.fleet.take_latencies();
+    measured_.agents.take_latencies();
     measured_.users.take_latencies();
-    measured_.workplace.take_urgent_waits();
+    measured_.oracle.take_urgent_waits();
 }
 
 json Measure::controllers(const Snapshot& now, double seconds) {
@@ -99,25 +99,25 @@
 void Measure::window(int leader, TimePoint at) {
     const auto now = snapshot();
     const auto seconds = core::between(last_at_, at).count();
-    const auto heartbeats = measured_.fleet.take_latencies();
+    const auto heartbeats = measured_.agents.take_latencies();
     const auto submissions = measured_.users.take_latencies();
-    const auto urgent = measured_.workplace.take_urgent_waits();
-    const auto& fleet = now.fleet;
+    const auto urgent = measured_.oracle.take_urgent_waits();
+    const auto& agents = now.agents;
     windows_.push_back(
         {{"from_s", rounded(core::between(begun_, last_at_).count())},
          {"seconds", rounded(seconds)},
          {"leader", leader},
-         {"workers", measured_.fleet.up()},
-         {"running", measured_.workplace.running()},
+         {"workers", measured_.agents.up()},
+         {"running", measured_.oracle.running()},
          {"open_jobs", measured_.users.open()},
          {"open_tasks", measured_.users.tasks_open()},
-         {"starts_per_s", rate(now.workplace.starts, last_.workplace.starts, seconds)},
+         {"starts_per_s", rate(now.oracle.starts, last_.oracle.starts, seconds)},
          {"jobs_per_s", rate(now.users.accepted, last_.users.accepted, seconds)},
-         {"reports_per_s", rate(fleet.heartbeats, last_.fleet.heartbeats, seconds)},
-         {"direct_calls_per_s", rate(fleet.direct, last_.fleet.direct, seconds)},
-         {"reports_failed_per_s", rate(fleet.failed, last_.fleet.failed, seconds)},
-         {"report_bytes_per_s", rate(fleet.bytes_in + fleet.bytes_out,
-                                     last_.fleet.bytes_in + last_.fleet.bytes_out, seconds)},
+         {"reports_per_s", rate(agents.heartbeats, last_.agents.heartbeats, seconds)},
+         {"direct_calls_per_s", rate(agents.direct, last_.agents.direct, seconds)},
+         {"reports_failed_per_s", rate(agents.failed, last_.agents.failed, seconds)},
+         {"report_bytes_per_s", rate(agents.bytes_in + agents.bytes_out,
+                                     last_.agents.bytes_in + last_.agents.bytes_out, seconds)},
          {"user_requests_per_s", rate(now.users.requests, last_.users.requests, seconds)},
          {"user_errors_per_s", rate(now.users.errors, last_.users.errors, seconds)},
          {"user_bytes_per_s", rate(now.user_bytes_in + now.user_bytes_out,
@@ -134,29 +134,29 @@
 
 json Measure::totals() const {
     const auto seconds = core::between(begun_, last_at_).count();
-    const auto& fleet = last_.fleet;
+    const auto& agents = last_.agents;
     const auto [keys, key_bytes] = measured_.state.size();
     return {{"seconds", rounded(seconds)},
-            {"starts", last_.workplace.starts - first_.workplace.starts},
-            {"starts_per_s", rate(last_.workplace.starts, first_.workplace.starts, seconds)},
-            {"tasks_done", last_.workplace.done - first_.workplace.done},
+            {"starts", last_.oracle.starts - first_.oracle.starts},
+            {"starts_per_s", rate(last_.oracle.starts, first_.oracle.starts, seconds)},
+            {"tasks_done", last_.oracle.done - first_.oracle.done},
             {"jobs_submitted", last_.users.submitted - first_.users.submitted},
             {"jobs_accepted", last_.users.accepted - first_.users.accepted},
             {"jobs_refused", last_.users.refused},
             {"jobs_given_up", last_.users.given_up},
             {"jobs_over", last_.users.over - first_.users.over},
             {"user_errors", last_.users.errors - first_.users.errors},
-            {"reports", fleet.heartbeats - first_.fleet.heartbeats},
-            {"reports_redirected", fleet.redirected - first_.fleet.redirected},
-            {"reports_failed", fleet.failed - first_.fleet.failed},
-            {"reports_dropped", fleet.dropped - first_.fleet.dropped},
-            {"leases_lost", fleet.leases_lost - first_.fleet.leases_lost},
+            {"reports", agents.heartbeats - first_.agents.heartbeats},
+            {"reports_redirected", agents.redirected - first_.agents.redirected},
+            {"reports_failed", agents.failed - first_.agents.failed},
+            {"reports_dropped", agents.dropped - first_.agents.dropped},
+            {"leases_lost", agents.leases_lost - first_.agents.leases_lost},
             {"state_keys", keys},
             {"state_value_bytes", key_bytes}};
 }
 
 json Measure::results() const {
-    const auto& rules = last_.workplace;
+    const auto& rules = last_.oracle;
     return {{"totals", totals()},
             {"report_latency", as_json(quantiles(heartbeats_))},
             {"submission_latency", as_json(quantiles(submissions_))},
--- a/scale/measure.hpp
+++ b/scale/measure.hpp
@@ -6,10 +6,10 @@
 #include <vector>
 
 #include "controllers.hpp"
-#include "fleet.hpp"
+#include "simulated_agents.hpp"
 #include "standin/state_service.hpp"
+#include "task_oracle.hpp"
 #include "users.hpp"
-#include "workplace.hpp"
 
 namespace bendspindle::scale {
 
@@ -24,9 +24,9 @@
 
 /// What is measured; none of it is owned.
 struct Measured {
-    WorkerFleet& fleet;
+    SimulatedAgents& agents;
     Users& users;
-    Workplace& workplace;
+    TaskOracle& oracle;
     standin::StateService& state;
     Controllers& controllers;
 };
@@ -44,9 +44,9 @@
 
   private:
     struct Snapshot {
-        FleetCounts fleet;
+        SimulatedAgentCounts agents;
         UserCounts users;
-        WorkplaceCounts workplace;
+        TaskOracleCounts oracle;
         std::uint64_t user_bytes_in = 0;
         std::uint64_t user_bytes_out = 0;
         std::vector<std::uint64_t> renewals;
--- a/scale/run.cpp
+++ b/scale/run.cpp
@@ -6,10 +6,10 @@
 #include "cloud.hpp"
 #include "controllers.hpp"
 #include "event_loop.hpp"
-#include "fleet.hpp"
 #include "measure.hpp"
+#include "simulated_agents.hpp"
+#include "task_oracle.hpp"
 #include "users.hpp"
-#include "workplace.hpp"
 #include "wire/records.hpp"
 
 namespace bendspindle::scale {
@@ -34,14 +34,14 @@
     Run(const ScaleSettings& settings, const std::string& program)
         : settings_(settings),
           random_(settings.time.seed),
-          workplace_(settings.teams(), settings.workers.times.cancel),
+          oracle_(settings.teams(), settings.workers.times.cancel),
           state_(state_ports(settings),
                  {true, settings.services.requests_per_s, settings.services.writes_per_s}),
-          fleet_(loop_, settings, workplace_, random_),
-          cloud_(loop_, settings, fleet_, random_),
-          users_(loop_, settings, workplace_, random_),
+          agents_(loop_, settings, oracle_, random_),
+          cloud_(loop_, settings, agents_, random_),
+          users_(loop_, settings, oracle_, random_),
           controllers_(settings, program),
-          measure_({fleet_, users_, workplace_, state_, controllers_}, Clock::now()) {}
+          measure_({agents_, users_, oracle_, state_, controllers_}, Clock::now()) {}
 
     RunResult play();
 
@@ -58,9 +58,9 @@
     const ScaleSettings& settings_;
     std::mt19937_64 random_;
     EventLoop loop_;
-    Workplace workplace_;
+    TaskOracle oracle_;
     standin::StateService state_;
-    WorkerFleet fleet_;
+    SimulatedAgents agents_;
     Cloud cloud_;
     Users users_;
     Controllers controllers_;
@@ -75,7 +75,7 @@
 std::vector<std::string> Run::all() const {
     std::vector<std::string> out;
     for (const auto& zone : settings_.zones)
-        for (auto& name : fleet_.at(zone.name)) out.push_back(std::move(name));
+        for (auto& name : agents_.at(zone.name)) out.push_back(std::move(name));
     return out;
 }
 
@@ -89,7 +89,7 @@
 
 void Run::check() {
     const auto now = Clock::now();
-    workplace_.check(now);
+    oracle_.check(now);
     find_leader();
     if (!controllers_.ended().empty()) ended_by_itself_ = true;
     if (now + check_every < end_) loop_.at(now + check_every, [this] { check(); });
@@ -109,7 +109,7 @@
 }
 
 void Run::fault(const FaultSettings& fault) {
-    const auto names = fault.place.empty() ? std::vector<std::string>{} : fleet_.at(fault.place);
+    const auto names = fault.place.empty() ? std::vector<std::string>{} : agents_.at(fault.place);
     faults_.push_back({{"at_s", fault.at.count()},
                        {"what", fault.name},
                        {"place", fault.place},
@@ -118,8 +118,8 @@
     if (fault.what == FaultSettings::What::end_leader) return end_leader(fault);
     for (const auto& name : names) {
         if (fault.what == FaultSettings::What::lose) cloud_.lose(name);
-        if (fault.what == FaultSettings::What::cut) fleet_.cut(name, fault.lasts);
-        if (fault.what == FaultSettings::What::hang) fleet_.hang(name, fault.lasts);
+        if (fault.what == FaultSettings::What::cut) agents_.cut(name, fault.lasts);
+        if (fault.what == FaultSettings::What::hang) agents_.hang(name, fault.lasts);
     }
 }
 
@@ -150,9 +150,9 @@
     const auto& rates = settings_.rates;
     trouble(rates.deaths_per_day, [this](const auto& name) { cloud_.lose(name); });
     trouble(rates.restarts_per_day,
-            [this](const auto& name) { fleet_.restart(name, settings_.rates.restart); });
+            [this](const auto& name) { agents_.restart(name, settings_.rates.restart); });
     trouble(rates.hangs_per_day,
-            [this](const auto& name) { fleet_.hang(name, settings_.rates.hang); });
+            [this](const auto& name) { agents_.hang(name, settings_.rates.hang); });
     check();
 }
 
@@ -173,7 +173,7 @@
     out.figures["released"] = cloud_.released();
     for (const auto& [rule, count] : out.figures["rules"]["broken"].items())
         out.rule_broken = out.rule_broken || count.get<std::uint64_t>() > 0;
-    out.nothing_ran = workplace_.counts().starts == 0 && settings_.load.jobs_per_s > 0;
+    out.nothing_ran = oracle_.counts().starts == 0 && settings_.load.jobs_per_s > 0;
     out.ended_by_itself = ended_by_itself_;
     return out;
 }
--- a/scale/settings.hpp
+++ b/scale/settings.hpp
@@ -20,7 +20,7 @@
 
 struct ControllerSettings {
     int count = 3;
-    double memory_mb = 128;  // each; told to it, and reckoned with, but not enforced
+    double memory_mb = 128;  // of each; checked against this machine's memory, but not enforced
     int sockets = 1200;
 };
 
@@ -67,7 +67,7 @@
     Seconds list_lag{3};
 };
 
-/// How often machines have trouble by themselves, in the whole fleet.
+/// How often machines have trouble by themselves, in the whole agents.
 struct RateSettings {
     double deaths_per_day = 70;
     double restarts_per_day = 830;
--- a/scale/fleet.cpp
+++ b/scale/simulated_agents.cpp
@@ -1,11 +1,11 @@
-#include "fleet.hpp"
+#include "simulated_agents.hpp"
 
 #include <arpa/inet.h>
 
 #include <algorithm>
 
-#include "wire/cbor.hpp"
 #include "wire/agent_messages.hpp"
+#include "wire/cbor.hpp"
 
 namespace bendspindle::scale {
 
@@ -26,14 +26,14 @@
 
 }  // namespace
 
-struct WorkerFleet::Member {
-    Member(MachineIdentity identity, core::AgentTimings times, Workplace& workplace, EventLoop& loop,
+struct SimulatedAgents::Member {
+    Member(MachineIdentity identity, core::AgentTimings times, TaskOracle& oracle, EventLoop& loop,
            std::uint32_t host, TimePoint now)
-        : address(host), client(loop, host), worker(std::move(identity), times, workplace, now) {}
+        : address(host), client(loop, host), worker(std::move(identity), times, oracle, now) {}
 
     std::uint32_t address;
     HttpClient client;
-    HollowWorker worker;
+    SimulatedAgent worker;
     std::string rack;
     std::string region;
     std::size_t controller = 0;
@@ -44,30 +44,30 @@
     TimePoint armed = TimePoint::max();
     TimePoint hung_until{};
     TimePoint cut_until{};
-    std::uint64_t session_seen = 1;
+    std::uint64_t agent_epoch_seen = 1;
 };
 
-WorkerFleet::WorkerFleet(EventLoop& loop, const ScaleSettings& settings, Workplace& workplace,
-                         Random& random)
-    : loop_(loop), settings_(settings), workplace_(workplace), random_(random) {
+SimulatedAgents::SimulatedAgents(EventLoop& loop, const ScaleSettings& settings, TaskOracle& oracle,
+                                 Random& random)
+    : loop_(loop), settings_(settings), oracle_(oracle), random_(random) {
     renewals_by_.resize(static_cast<std::size_t>(settings.controllers.count));
     listener_ = std::make_unique<HttpListener>(
         loop, static_cast<std::uint16_t>(settings.worker_port()),
         [this](const HttpMessage& request, std::uint32_t to) { return serve(request, to); });
 }
 
-WorkerFleet::~WorkerFleet() = default;
+SimulatedAgents::~SimulatedAgents() = default;
 
-std::string WorkerFleet::address(int number, int port) {
+std::string SimulatedAgents::address(int number, int port) {
     in_addr at{htonl(host_of(number))};
     return std::string(::inet_ntoa(at)) + ":" + std::to_string(port);
 }
 
-Seconds WorkerFleet::between(double least, double most) {
+Seconds SimulatedAgents::between(double least, double most) {
     return Seconds(std::uniform_real_distribution(least, most)(random_));
 }
 
-void WorkerFleet::add(const std::string& name, const std::string& zone) {
+void SimulatedAgents::add(const std::string& name, const std::string& zone) {
     const auto now = Clock::now();
     const auto number = numbers_++;
     MachineIdentity identity{name,
@@ -76,13 +76,14 @@
                              zone,
                              settings_.workers.size,
                              settings_.workers.fetch_gb_per_s};
-    auto member = std::make_unique<Member>(std::move(identity), settings_.workers.times, workplace_,
+    auto member = std::make_unique<Member>(std::move(identity), settings_.workers.times, oracle_,
                                            loop_, host_of(number), now);
     member->rack = zone + "/" + std::to_string(in_zone_[zone]++ / settings_.rack_size);
     for (const auto& entry : settings_.zones)
         if (entry.name == zone) member->region = entry.region;
     member->controller = static_cast<std::size_t>(number % settings_.controllers.count);
-    member->next_heartbeat = core::later(now, between(0, settings_.workers.times.heartbeat.count()));
+    member->next_heartbeat =
+        core::later(now, between(0, settings_.workers.times.heartbeat.count()));
     member->not_before = member->next_heartbeat;
     by_address_[member->address] = member.get();
     auto& placed = *(by_name_[name] = std::move(member));
@@ -91,7 +92,7 @@
 }
 
 // Its timers and its client may be under way in the caller; it is kept until the end of the run.
-bool WorkerFleet::remove(const std::string& name) {
+bool SimulatedAgents::remove(const std::string& name) {
     const auto it = by_name_.find(name);
     if (it == by_name_.end()) return false;
     auto& member = *it->second;
@@ -105,7 +106,7 @@
     return true;
 }
 
-std::vector<std::string> WorkerFleet::at(const std::string& place) const {
+std::vector<std::string> SimulatedAgents::at(const std::string& place) const {
     std::vector<std::string> out;
     for (const auto& [name, member] : by_name_)
         if (member->rack == place || member->region == place ||
@@ -114,29 +115,29 @@
     return out;
 }
 
-void WorkerFleet::cut(const std::string& name, Seconds time) {
+void SimulatedAgents::cut(const std::string& name, Seconds time) {
     if (const auto it = by_name_.find(name); it != by_name_.end())
         it->second->cut_until = core::later(Clock::now(), time);
 }
 
-void WorkerFleet::hang(const std::string& name, Seconds time) {
+void SimulatedAgents::hang(const std::string& name, Seconds time) {
     if (const auto it = by_name_.find(name); it != by_name_.end())
         it->second->hung_until = core::later(Clock::now(), time);
 }
 
-void WorkerFleet::restart(const std::string& name, Seconds time) {
+void SimulatedAgents::restart(const std::string& name, Seconds time) {
     const auto it = by_name_.find(name);
     if (it == by_name_.end()) return;
     it->second->worker.restart(Clock::now());
-    it->second->session_seen = it->second->worker.agent_epoch();
+    it->second->agent_epoch_seen = it->second->worker.agent_epoch();
     hang(name, time);
 }
 
-bool WorkerFleet::unreachable(const Member& member, TimePoint now) {
+bool SimulatedAgents::unreachable(const Member& member, TimePoint now) {
     return member.hung_until > now || member.cut_until > now;
 }
 
-void WorkerFleet::arm(Member& member, TimePoint when) {
+void SimulatedAgents::arm(Member& member, TimePoint when) {
     if (when >= member.armed) return;
     member.armed = when;
     loop_.at(when, [this, &member, when] {
@@ -146,13 +147,13 @@
     });
 }
 
-void WorkerFleet::tick(Member& member) {
+void SimulatedAgents::tick(Member& member) {
     const auto now = Clock::now();
     if (member.hung_until > now) return arm(member, member.hung_until);
     auto& worker = member.worker;
     worker.advance(now);
-    if (worker.agent_epoch() != member.session_seen) {
-        member.session_seen = worker.agent_epoch();
+    if (worker.agent_epoch() != member.agent_epoch_seen) {
+        member.agent_epoch_seen = worker.agent_epoch();
         ++counts_.leases_lost;
     }
     if (!member.in_flight) {
@@ -160,25 +161,26 @@
         if (worker.changed()) due = std::min(due, member.last_sent + between_changes);
         due = std::max(due, member.not_before);
         if (due <= now)
-            send_report(member, now);
+            send_heartbeat(member, now);
         else
             arm(member, due);
     }
     arm(member, std::max(worker.next_due(), now + milliseconds(1)));
 }
 
-void WorkerFleet::send_report(Member& member, TimePoint now) {
+void SimulatedAgents::send_heartbeat(Member& member, TimePoint now) {
     const auto& report_s = settings_.workers.times.heartbeat;
     member.in_flight = true;
     member.last_sent = now;
     member.next_heartbeat =
         core::later(now, between(report_s.count() * 0.75, report_s.count() * 1.25));
-    member.worker.reported();
+    member.worker.heartbeat_sent();
     ++counts_.heartbeats;
     const auto agent_epoch = member.worker.agent_epoch();
     if (member.cut_until > now) {
-        loop_.at(now + answer_limit,
-                 [this, &member, now, agent_epoch] { answered(member, now, agent_epoch, std::nullopt); });
+        loop_.at(now + answer_limit, [this, &member, now, agent_epoch] {
+            answered(member, now, agent_epoch, std::nullopt);
+        });
         return;
     }
     const auto port = settings_.user_port(static_cast<int>(member.controller));
@@ -190,8 +192,8 @@
                        });
 }
 
-void WorkerFleet::answered(Member& member, TimePoint sent, std::uint64_t agent_epoch,
-                           std::optional<HttpMessage> answer) {
+void SimulatedAgents::answered(Member& member, TimePoint sent, std::uint64_t agent_epoch,
+                               std::optional<HttpMessage> answer) {
     const auto now = Clock::now();
     member.in_flight = false;
     // What reaches a machine that hangs is too old when it goes on.
@@ -211,7 +213,7 @@
     arm(member, now);
 }
 
-void WorkerFleet::redirected(Member& member, const std::string& named, TimePoint now) {
+void SimulatedAgents::redirected(Member& member, const std::string& named, TimePoint now) {
     for (int i = 0; i < settings_.controllers.count; ++i) {
         const auto to = static_cast<std::size_t>(i);
         if (named != controller_name(i) || to == member.controller) continue;
@@ -223,15 +225,15 @@
     try_next(member, now);
 }
 
-void WorkerFleet::try_next(Member& member, TimePoint now) {
+void SimulatedAgents::try_next(Member& member, TimePoint now) {
     member.client.close();
     member.controller =
         (member.controller + 1) % static_cast<std::size_t>(settings_.controllers.count);
     member.next_heartbeat = member.not_before = now + try_again;
 }
 
-void WorkerFleet::accepted(Member& member, TimePoint sent, std::uint64_t agent_epoch,
-                           const HttpMessage& answer) {
+void SimulatedAgents::accepted(Member& member, TimePoint sent, std::uint64_t agent_epoch,
+                               const HttpMessage& answer) {
     const auto now = Clock::now();
     member.worker.advance(now);
     latencies_.push_back(core::between(sent, now).count());
@@ -244,8 +246,8 @@
     }
 }
 
-std::optional<std::pair<int, std::string>> WorkerFleet::serve(const HttpMessage& request,
-                                                              std::uint32_t address) {
+std::optional<std::pair<int, std::string>> SimulatedAgents::serve(const HttpMessage& request,
+                                                                  std::uint32_t address) {
     const auto it = by_address_.find(address);
     const auto now = Clock::now();
     if (it == by_address_.end() || unreachable(*it->second, now)) return std::nullopt;
@@ -263,7 +265,7 @@
     return std::pair(status, wire::heartbeat_body(member.worker.heartbeat()));
 }
 
-FleetCounts WorkerFleet::counts() const {
+SimulatedAgentCounts SimulatedAgents::counts() const {
     auto out = counts_;
     const auto add = [&](const auto& member) {
         out.bytes_out += member->client.traffic().bytes_out;
--- a/scale/fleet.hpp
+++ b/scale/simulated_agents.hpp
@@ -1,5 +1,6 @@
-// The fleet of hollow workers: their reports, the direct calls to them, and what goes wrong with
-// their machines, on one event loop.
+/// All simulated agents of a run: their heartbeats, the direct calls to them, and the faults of
+/// their machines. Runs on the event loop's thread alone; owned by `run`, driven by `cloud` (which
+/// machines are up) and read by `measure`.
 #pragma once
 
 #include <map>
@@ -12,33 +13,33 @@
 #include "event_loop.hpp"
 #include "http.hpp"
 #include "settings.hpp"
-#include "worker.hpp"
+#include "simulated_agent.hpp"
 
 namespace bendspindle::scale {
 
-/// What the fleet has sent and got since it began.
-struct FleetCounts {
-    std::uint64_t heartbeats = 0;     // sent
+/// What the agents have sent and got since the run began.
+struct SimulatedAgentCounts {
+    std::uint64_t heartbeats = 0;  // sent
     std::uint64_t renewals = 0;    // answered with 200 and accepted
-    std::uint64_t dropped = 0;     // answered with 200 under a lower token, or for an old session
+    std::uint64_t dropped = 0;  // answered with 200 under a lower token, or for an old agent epoch
     std::uint64_t redirected = 0;  // 421
     std::uint64_t failed = 0;      // any other status, or none
     std::uint64_t direct = 0;      // direct calls served
     std::uint64_t leases_lost = 0;
-    std::uint64_t bytes_out = 0;  // of reports and their answers, with heads
+    std::uint64_t bytes_out = 0;  // of heartbeats and their answers, with heads
     std::uint64_t bytes_in = 0;
 };
 
 /// All machines that are up.
-class WorkerFleet {
+class SimulatedAgents {
   public:
     using Random = std::mt19937_64;
 
-    WorkerFleet(EventLoop& loop, const ScaleSettings& settings, Workplace& workplace,
-                Random& random);
-    ~WorkerFleet();
+    SimulatedAgents(EventLoop& loop, const ScaleSettings& settings, TaskOracle& oracle,
+                    Random& random);
+    ~SimulatedAgents();
 
-    /// A machine is up in that zone, and its worker begins to report.
+    /// A machine is up in that zone, and its agent begins to send heartbeats.
     void add(const std::string& name, const std::string& zone);
     /// The machine is gone with all on it; false: there is none by that name.
     bool remove(const std::string& name);
@@ -50,13 +51,13 @@
     void cut(const std::string& name, Seconds time);
     /// The machine does nothing.
     void hang(const std::string& name, Seconds time);
-    /// The machine loses its tasks and is back later, with a new session.
+    /// The machine loses its tasks and is back later, with a new agent epoch.
     void restart(const std::string& name, Seconds time);
 
-    FleetCounts counts() const;
-    /// Seconds from sending a report to its answer, of those answered with 200.
+    SimulatedAgentCounts counts() const;
+    /// Seconds from sending a heartbeat to its answer, of those answered with 200.
     std::vector<double> take_latencies() { return std::exchange(latencies_, {}); }
-    /// Reports answered with 200 by each controller.
+    /// Heartbeats answered with 200 by each controller.
     const std::vector<std::uint64_t>& renewals_by() const { return renewals_by_; }
     static std::string address(int number, int port);
 
@@ -64,10 +65,11 @@
     struct Member;
     void tick(Member& member);
     void arm(Member& member, TimePoint when);
-    void send_report(Member& member, TimePoint now);
+    void send_heartbeat(Member& member, TimePoint now);
     void answered(Member& member, TimePoint sent, std::uint64_t agent_epoch,
                   std::optional<HttpMessage> answer);
-    void accepted(Member& member, TimePoint sent, std::uint64_t agent_epoch, const HttpMessage& answer);
+    void accepted(Member& member, TimePoint sent, std::uint64_t agent_epoch,
+                  const HttpMessage& answer);
     void redirected(Member& member, const std::string& named, TimePoint now);
     void try_next(Member& member, TimePoint now);
     std::optional<std::pair<int, std::string>> serve(const HttpMessage& request,
@@ -77,7 +79,7 @@
 
     EventLoop& loop_;
     const ScaleSettings& settings_;
-    Workplace& workplace_;
+    TaskOracle& oracle_;
     Random& random_;
     int numbers_ = 0;
     std::vector<std::uint64_t> renewals_by_;
@@ -87,7 +89,7 @@
     std::unordered_map<std::uint32_t, Member*> by_address_;
     std::vector<std::unique_ptr<Member>> gone_;
     std::vector<double> latencies_;
-    FleetCounts counts_;
+    SimulatedAgentCounts counts_;
     std::unique_ptr<HttpListener> listener_;
 };
 
--- a/scale/workplace.cpp
+++ b/scale/task_oracle.cpp
@@ -1,13 +1,13 @@
-#include "workplace.hpp"
+#include "task_oracle.hpp"
 
 namespace bendspindle::scale {
 
-Job* Workplace::job(const std::string& id) {
+Job* TaskOracle::job(const std::string& id) {
     const auto it = jobs_.find(id);
     return it == jobs_.end() ? nullptr : &it->second;
 }
 
-Job& Workplace::add(core::JobSpec spec, Seconds run, TimePoint now) {
+Job& TaskOracle::add(core::JobSpec spec, Seconds run, TimePoint now) {
     const auto id = spec.id;
     auto& job = jobs_[id];
     job.begun.resize(spec.tasks);
@@ -18,14 +18,14 @@
     return job;
 }
 
-void Workplace::begins(Job& job, std::uint32_t task, TimePoint now) {
+void TaskOracle::begins(Job& job, std::uint32_t task, TimePoint now) {
     if (job.begun[task]) return;
     job.begun[task] = true;
     if (++job.begun_count == job.spec.tasks && job.spec.priority == core::Priority::high)
         urgent_waits_.push_back(core::between(job.submitted, now).count());
 }
 
-void Workplace::enters(const std::string& id, std::uint32_t task, GangMember* at, TimePoint now) {
+void TaskOracle::enters(const std::string& id, std::uint32_t task, GangMember* at, TimePoint now) {
     auto& job = jobs_.at(id);
     auto& holders = on_[{id, task}];
     if (!holders.empty()) ++counts_.ran_twice;
@@ -41,7 +41,7 @@
     begins(job, task, now);
 }
 
-void Workplace::leaves(const std::string& id, std::uint32_t task, GangMember* at) {
+void TaskOracle::leaves(const std::string& id, std::uint32_t task, GangMember* at) {
     const auto it = on_.find({id, task});
     if (it == on_.end()) return;
     const auto holder = it->second.find(at);
@@ -53,7 +53,7 @@
     --running_;
 }
 
-void Workplace::finished(const std::string& id, std::uint32_t task) {
+void TaskOracle::finished(const std::string& id, std::uint32_t task) {
     auto& job = jobs_.at(id);
     if (job.done[task]) return;
     job.done[task] = true;
@@ -61,7 +61,7 @@
     ++counts_.done;
 }
 
-void Workplace::check(TimePoint now) {
+void TaskOracle::check(TimePoint now) {
     ++counts_.checks;
     for (const auto& [key, holders] : on_) {
         const auto& job = jobs_.at(key.first);
@@ -70,30 +70,31 @@
     }
 }
 
-void Workplace::gang_waits(const std::string& id, std::uint64_t attempt, std::uint32_t task,
-                           GangMember* at, TimePoint now) {
+void TaskOracle::gang_waits(const std::string& id, std::uint64_t attempt, std::uint32_t task,
+                            GangMember* at, TimePoint now) {
     auto& gang = gangs_[{id, attempt}];
     gang.members[task] = at;
     if (gang.members.size() < jobs_.at(id).spec.tasks) return;
     gang.running = true;
-    // A machine that holds several of them is told once for each; it takes the first as for all.
+    // A machine that holds several of them is notified once for each; it takes the first as for
+    // all.
     const auto members = gang.members;
     for (const auto& [index, member] : members) member->gang_runs(id, attempt, now);
 }
 
-std::vector<GangMember*> Workplace::take_members(const GangKey& key) {
+std::vector<GangMember*> TaskOracle::take_members(const GangKey& key) {
     std::vector<GangMember*> out;
     const auto it = gangs_.find(key);
     if (it == gangs_.end()) return out;
-    std::set<GangMember*> told;
+    std::set<GangMember*> notified;
     for (const auto& [index, member] : it->second.members)
-        if (told.insert(member).second) out.push_back(member);
+        if (notified.insert(member).second) out.push_back(member);
     gangs_.erase(it);
     return out;
 }
 
-void Workplace::gang_lost(const std::string& id, std::uint64_t attempt, std::uint32_t task,
-                          TimePoint now) {
+void TaskOracle::gang_lost(const std::string& id, std::uint64_t attempt, std::uint32_t task,
+                           TimePoint now) {
     const auto it = gangs_.find({id, attempt});
     if (it == gangs_.end()) return;
     it->second.members.erase(task);
@@ -104,7 +105,7 @@
         gangs_.erase(it);
 }
 
-void Workplace::gang_ends(const std::string& id, std::uint64_t attempt, TimePoint now) {
+void TaskOracle::gang_ends(const std::string& id, std::uint64_t attempt, TimePoint now) {
     for (auto* member : take_members({id, attempt})) member->gang_done(id, attempt, now);
 }
 
--- a/scale/workplace.hpp
+++ b/scale/task_oracle.hpp
@@ -1,6 +1,6 @@
-// What the machines of a scale run share: the jobs that users have submitted, which task is on
-// which machine, gangs, and the rules of the protocol that show on the workers' side. No input or
-// output; time is passed in.
+/// What a scale run knows for certain about its tasks: the jobs that users have submitted, which
+/// task is on which machine, gangs, and the protocol's rules that show on the agents' side. Written
+/// by the simulated agents and users, read by `measure`. No input or output; time is passed in.
 #pragma once
 
 #include <chrono>
@@ -26,15 +26,15 @@
     Seconds run{0};  // what a task of it really takes
     TimePoint submitted{};
     bool accepted = false;
-    bool over = false;  // its user has been told so
+    bool over = false;  // its user has seen a terminal state
     std::vector<bool> begun;
     std::vector<bool> done;
     std::uint32_t begun_count = 0;
     std::uint32_t done_count = 0;
-    std::optional<TimePoint> cancelled;  // when its user was told
+    std::optional<TimePoint> cancelled;  // when its user got the confirmation
 };
 
-/// Who holds a gang's task, to be told what happens to the others.
+/// Who holds a gang's task, to be notified of what happens to the others.
 class GangMember {
   public:
     virtual ~GangMember() = default;
@@ -47,7 +47,7 @@
 };
 
 /// How often each rule was broken, and what is counted beside.
-struct WorkplaceCounts {
+struct TaskOracleCounts {
     std::uint64_t ran_twice = 0;
     std::uint64_t quota = 0;
     std::uint64_t ran_cancelled = 0;
@@ -56,10 +56,11 @@
     std::uint64_t checks = 0;  // steps at which the rules were looked at
 };
 
-/// The shared facts. A task is on its machine from the moment it has its image until it is gone.
-class Workplace {
+/// Who runs what, and the rules checked at each change. A task is on its machine from the moment it
+/// has its image until it is gone.
+class TaskOracle {
   public:
-    Workplace(std::vector<core::Team> teams, Seconds cancel) : cancel_(cancel) {
+    TaskOracle(std::vector<core::Team> teams, Seconds cancel) : cancel_(cancel) {
         for (auto& team : teams) teams_[team.name].limit = team.limit;
     }
 
@@ -79,13 +80,13 @@
     /// A gang's task waits for the others; tells all members once the last one is there.
     void gang_waits(const std::string& job, std::uint64_t attempt, std::uint32_t task,
                     GangMember* at, TimePoint now);
-    /// A gang's task is gone before the gang was done. The others are told if it ran.
+    /// A gang's task is gone before the gang was done. The others are notified if it ran.
     void gang_lost(const std::string& job, std::uint64_t attempt, std::uint32_t task,
                    TimePoint now);
     /// A gang's first task is done.
     void gang_ends(const std::string& job, std::uint64_t attempt, TimePoint now);
 
-    const WorkplaceCounts& counts() const { return counts_; }
+    const TaskOracleCounts& counts() const { return counts_; }
     std::size_t running() const { return running_; }
     /// Seconds from submission until all tasks of an urgent job had begun once.
     std::vector<double> take_urgent_waits() { return std::exchange(urgent_waits_, {}); }
@@ -111,7 +112,7 @@
     std::map<GangKey, Gang> gangs_;
     std::vector<double> urgent_waits_;
     std::size_t running_ = 0;
-    WorkplaceCounts counts_;
+    TaskOracleCounts counts_;
 };
 
 }  // namespace bendspindle::scale
--- a/scale/users.cpp
+++ b/scale/users.cpp
@@ -24,9 +24,9 @@
 
 }  // namespace
 
-Users::Users(EventLoop& loop, const ScaleSettings& settings, Workplace& workplace,
-             WorkerFleet::Random& random)
-    : loop_(loop), settings_(settings), workplace_(workplace), random_(random) {}
+Users::Users(EventLoop& loop, const ScaleSettings& settings, TaskOracle& oracle,
+             SimulatedAgents::Random& random)
+    : loop_(loop), settings_(settings), oracle_(oracle), random_(random) {}
 
 void Users::begin(TimePoint end) {
     end_ = end;
@@ -36,7 +36,7 @@
 std::uint64_t Users::tasks_open() const {
     std::uint64_t out = 0;
     for (const auto& id : open_) {
-        const auto& job = *workplace_.job(id);
+        const auto& job = *oracle_.job(id);
         out += job.spec.tasks - job.done_count;
     }
     return out;
@@ -48,7 +48,7 @@
     if (when > end_) return;
     loop_.at(when, [this] {
         const auto now = Clock::now();
-        const auto& job = workplace_.add(draw(), draw_run(), now);
+        const auto& job = oracle_.add(draw(), draw_run(), now);
         const auto id = job.spec.id;
         ++counts_.submitted;
         submit(id, now);
@@ -120,10 +120,10 @@
 }
 
 void Users::submit(const std::string& id, TimePoint first) {
-    const auto body = wire::job_body(workplace_.job(id)->spec);
+    const auto body = wire::job_body(oracle_.job(id)->spec);
     ask("POST", wire::path::work, body, submit_limit, [this, id, first](int status, const auto&) {
         const auto now = Clock::now();
-        auto& job = *workplace_.job(id);
+        auto& job = *oracle_.job(id);
         if (status == 200 || status == 201) {
             job.accepted = true;
             open_.insert(id);
@@ -144,10 +144,10 @@
 void Users::poll(const std::string& id) {
     if (!open_.contains(id)) return;
     // An answer that was under way when the cancellation was confirmed may be older.
-    const bool was_cancelled = workplace_.job(id)->cancelled.has_value();
+    const bool was_cancelled = oracle_.job(id)->cancelled.has_value();
     ask("GET", std::string(wire::path::work) + "/" + id, "", poll_limit,
         [this, id, was_cancelled](int status, const std::string& stage) {
-            polled(*workplace_.job(id), was_cancelled, status, stage);
+            polled(*oracle_.job(id), was_cancelled, status, stage);
             if (open_.contains(id)) loop_.at(Clock::now() + poll_every, [this, id] { poll(id); });
         });
 }
@@ -171,12 +171,12 @@
 }
 
 void Users::cancel(const std::string& id) {
-    auto& job = *workplace_.job(id);
+    auto& job = *oracle_.job(id);
     if (!job.accepted || job.over) return;
     cancelling_.insert(id);
     ask("POST", std::string(wire::path::work) + "/" + id + "/cancel", "", submit_limit,
         [this, id](int status, const std::string& stage) {
-            auto& cancelled = *workplace_.job(id);
+            auto& cancelled = *oracle_.job(id);
             if (status == 200 && stage == "aborted") {
                 if (!cancelled.cancelled) cancelled.cancelled = Clock::now();
             } else if (status != 200) {
--- a/scale/users.hpp
+++ b/scale/users.hpp
@@ -10,10 +10,10 @@
 #include <vector>
 
 #include "event_loop.hpp"
-#include "fleet.hpp"
 #include "http.hpp"
 #include "settings.hpp"
-#include "workplace.hpp"
+#include "simulated_agents.hpp"
+#include "task_oracle.hpp"
 
 namespace bendspindle::scale {
 
@@ -25,7 +25,7 @@
     std::uint64_t given_up = 0;
     std::uint64_t requests = 0;
     std::uint64_t errors = 0;  // requests without a useful answer
-    std::uint64_t over = 0;    // told so
+    std::uint64_t over = 0;    // with a terminal state that its user has seen
     // Rules that show to users.
     std::uint64_t forgotten = 0;
     std::uint64_t not_done = 0;
@@ -36,8 +36,8 @@
 /// other.
 class Users {
   public:
-    Users(EventLoop& loop, const ScaleSettings& settings, Workplace& workplace,
-          WorkerFleet::Random& random);
+    Users(EventLoop& loop, const ScaleSettings& settings, TaskOracle& oracle,
+          SimulatedAgents::Random& random);
 
     /// Jobs arrive until then.
     void begin(TimePoint end);
@@ -65,8 +65,8 @@
 
     EventLoop& loop_;
     const ScaleSettings& settings_;
-    Workplace& workplace_;
-    WorkerFleet::Random& random_;
+    TaskOracle& oracle_;
+    SimulatedAgents::Random& random_;
     TimePoint end_{};
     std::uint64_t numbers_ = 0;
     int next_controller_ = 0;
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,4 +1,4 @@
-// The scale run: its settings, the hollow worker's side of the protocol, and its small run.
+// The scale run: its settings, the simulated agent's side of the protocol, and its small run.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -17,7 +17,7 @@
 #include "http.hpp"
 #include "measure.hpp"
 #include "settings.hpp"
-#include "worker.hpp"
+#include "simulated_agent.hpp"
 
 namespace bendspindle::scale {
 namespace {
@@ -100,10 +100,10 @@
     }
 }
 
-// One or more machines of four cores that share a workplace with a few jobs.
-class HollowWorkerTest : public testing::Test {
+// One or more machines of four cores that share an oracle with a few jobs.
+class SimulatedAgentTest : public testing::Test {
   protected:
-    HollowWorkerTest() : workplace_({team("t", 100), team("narrow", 2)}, 16s) {}
+    SimulatedAgentTest() : oracle_({team("t", 100), team("narrow", 2)}, 16s) {}
 
     static core::Team team(const std::string& name, double cpus) {
         core::Team out;
@@ -121,17 +121,16 @@
         spec.need = {2, 0, 1};
         spec.image = "img";
         spec.image_gb = 1;
-        workplace_.add(spec, Seconds(10), now_);
+        oracle_.add(spec, Seconds(10), now_);
     }
-    std::unique_ptr<HollowWorker> worker(const std::string& name) {
+    std::unique_ptr<SimulatedAgent> worker(const std::string& name) {
         core::AgentTimings times;
         times.heartbeat = Seconds(2);
         times.lease = Seconds(10);
         times.gang_wait = Seconds(20);
         times.gang_peer = Seconds(4);
-        return std::make_unique<HollowWorker>(
-            MachineIdentity{name, "127.1.0.1:1", "m", "a", {4, 0, 64}, 1.0}, times, workplace_,
-            now_);
+        return std::make_unique<SimulatedAgent>(
+            MachineIdentity{name, "127.1.0.1:1", "m", "a", {4, 0, 64}, 1.0}, times, oracle_, now_);
     }
     static TaskCommand command(TaskCommand::Verb verb, const std::string& job, std::uint32_t index,
                                std::uint64_t attempt) {
@@ -141,17 +140,17 @@
                              std::uint64_t attempt = 1) {
         return command(TaskCommand::Verb::start, job, index, attempt);
     }
-    // An answer to a report that was sent just now.
-    bool answer(HollowWorker& worker, std::uint64_t fencing_token,
+    // An answer to a heartbeat that was sent just now.
+    bool answer(SimulatedAgent& worker, std::uint64_t fencing_token,
                 std::vector<TaskCommand> commands = {}) {
         return worker.answered(now_, worker.agent_epoch(), {fencing_token, {}, std::move(commands)},
                                now_);
     }
-    void pass(HollowWorker& worker, Seconds time) {
+    void pass(SimulatedAgent& worker, Seconds time) {
         now_ = core::later(now_, time);
         worker.advance(now_);
     }
-    static std::string told(HollowWorker& worker) {
+    static std::string tasks_of(SimulatedAgent& worker) {
         std::string out;
         for (const auto& task : worker.heartbeat().tasks)
             out += task.job + "/" + std::to_string(task.index) + " " +
@@ -166,60 +165,60 @@
     }
 
     core::TimePoint now_ = core::TimePoint(std::chrono::hours(1));
-    Workplace workplace_;
+    TaskOracle oracle_;
 };
 
-TEST_F(HollowWorkerTest, ATaskFetchesRunsAndIsReaped) {
+TEST_F(SimulatedAgentTest, ATaskFetchesRunsAndIsReaped) {
     job("job-1");
     const auto w = worker("n-1");
     EXPECT_TRUE(answer(*w, 1, {start("job-1", 0)}));
-    EXPECT_EQ(told(*w), seen("job-1/0", TaskState::fetching));
-    EXPECT_EQ(workplace_.counts().starts, 0U);
+    EXPECT_EQ(tasks_of(*w), seen("job-1/0", TaskState::fetching));
+    EXPECT_EQ(oracle_.counts().starts, 0U);
     pass(*w, 1s);
-    EXPECT_EQ(told(*w), seen("job-1/0", TaskState::running));
-    EXPECT_EQ(workplace_.counts().starts, 1U);
+    EXPECT_EQ(tasks_of(*w), seen("job-1/0", TaskState::running));
+    EXPECT_EQ(oracle_.counts().starts, 1U);
     answer(*w, 1, {start("job-1", 0)});  // repeated: no effect
     pass(*w, 5s);
     answer(*w, 1);
     pass(*w, 5s);
-    EXPECT_EQ(told(*w), seen("job-1/0", TaskState::exited, ExitCause::done));
+    EXPECT_EQ(tasks_of(*w), seen("job-1/0", TaskState::exited, ExitCause::done));
     answer(*w, 1, {start("job-1", 0), command(TaskCommand::Verb::acknowledge, "job-1", 0, 1)});
-    EXPECT_EQ(told(*w), "");
+    EXPECT_EQ(tasks_of(*w), "");
     // The result is kept, and the image too.
     answer(*w, 1, {start("job-1", 0, 2)});
     pass(*w, 1ms);
-    EXPECT_EQ(told(*w), seen("job-1/0", TaskState::exited, ExitCause::done));
-    EXPECT_EQ(workplace_.counts().starts, 1U);
+    EXPECT_EQ(tasks_of(*w), seen("job-1/0", TaskState::exited, ExitCause::done));
+    EXPECT_EQ(oracle_.counts().starts, 1U);
 }
 
-TEST_F(HollowWorkerTest, StartsAreRefusedWithTheirCause) {
+TEST_F(SimulatedAgentTest, StartsAreRefusedWithTheirCause) {
     job("job-1");
     const auto w = worker("n-1");
     answer(*w, 1,
            {start("job-1", 0), start("job-1", 1), start("job-1", 2), start("job-1", 0, 2),
             start("job-2", 0), start("job-1", 4)});
-    EXPECT_EQ(told(*w), seen("job-1/0", TaskState::fetching) +
-                            seen("job-1/1", TaskState::fetching) +
-                            seen("job-1/2", TaskState::exited, ExitCause::no_room) +
-                            seen("job-1/0", TaskState::exited, ExitCause::busy) +
-                            seen("job-2/0", TaskState::exited, ExitCause::unknown) +
-                            seen("job-1/4", TaskState::exited, ExitCause::unknown));
+    EXPECT_EQ(tasks_of(*w), seen("job-1/0", TaskState::fetching) +
+                                seen("job-1/1", TaskState::fetching) +
+                                seen("job-1/2", TaskState::exited, ExitCause::no_room) +
+                                seen("job-1/0", TaskState::exited, ExitCause::busy) +
+                                seen("job-2/0", TaskState::exited, ExitCause::unknown) +
+                                seen("job-1/4", TaskState::exited, ExitCause::unknown));
 }
 
-TEST_F(HollowWorkerTest, ALowerTokenIsDroppedAndRenewsNothing) {
+TEST_F(SimulatedAgentTest, ALowerTokenIsDroppedAndRenewsNothing) {
     job("job-1");
     const auto w = worker("n-1");
     EXPECT_TRUE(answer(*w, 5));
     pass(*w, 6s);
     EXPECT_FALSE(answer(*w, 4, {start("job-1", 0)}));
     EXPECT_FALSE(w->answered(now_, 1, {std::nullopt, {}, {start("job-1", 0)}}, now_));
-    EXPECT_EQ(told(*w), "");
+    EXPECT_EQ(tasks_of(*w), "");
     EXPECT_EQ(w->fencing_token(), 5U);
     pass(*w, 5s);
     EXPECT_EQ(w->agent_epoch(), 2U);
 }
 
-TEST_F(HollowWorkerTest, TheLeaseRunsFromWhenTheAnsweredReportWasSent) {
+TEST_F(SimulatedAgentTest, TheLeaseRunsFromWhenTheAnsweredHeartbeatWasSent) {
     job("job-1");
     const auto w = worker("n-1");
     answer(*w, 1, {start("job-1", 0)});
@@ -231,14 +230,14 @@
     EXPECT_LE(w->next_due(), sent + 10s + 1ms);
     pass(*w, 1ms);
     EXPECT_EQ(w->agent_epoch(), 2U);
-    EXPECT_EQ(told(*w), "");
-    EXPECT_EQ(workplace_.running(), 0U);
-    // Type answers a report of the session before is dropped.
+    EXPECT_EQ(tasks_of(*w), "");
+    EXPECT_EQ(oracle_.running(), 0U);
+    // An answer to a heartbeat of the agent epoch before is dropped.
     EXPECT_FALSE(w->answered(now_, 1, {1, {}, {start("job-1", 1)}}, now_));
-    EXPECT_EQ(told(*w), "");
+    EXPECT_EQ(tasks_of(*w), "");
 }
 
-TEST_F(HollowWorkerTest, DirectCallsNeedTokenAndSessionAndRenewNothing) {
+TEST_F(SimulatedAgentTest, DirectCallsNeedTokenAndAgentEpochAndRenewNothing) {
     job("job-1");
     const auto w = worker("n-1");
     answer(*w, 5);
@@ -246,22 +245,22 @@
     EXPECT_EQ(w->direct({5, 2, {start("job-1", 0)}}, now_), 409);
     EXPECT_EQ(w->direct({5, {}, {}}, now_), 400);
     EXPECT_EQ(w->direct({{}, 1, {}}, now_), 400);
-    EXPECT_EQ(told(*w), "");
+    EXPECT_EQ(tasks_of(*w), "");
     EXPECT_EQ(w->direct({6, 1, {start("job-1", 0)}}, now_), 200);
     EXPECT_EQ(w->fencing_token(), 6U);
-    EXPECT_EQ(told(*w), seen("job-1/0", TaskState::fetching));
+    EXPECT_EQ(tasks_of(*w), seen("job-1/0", TaskState::fetching));
     pass(*w, 9s);
     EXPECT_EQ(w->direct({6, 1, {}}, now_), 200);
     pass(*w, 2s);
     EXPECT_EQ(w->agent_epoch(), 2U);
 }
 
-TEST_F(HollowWorkerTest, AHigherTokenIsAChangeOnceInHalfALease) {
+TEST_F(SimulatedAgentTest, AHigherTokenIsAChangeOnceInHalfALease) {
     const auto w = worker("n-1");
-    w->reported();
+    w->heartbeat_sent();
     answer(*w, 1);
     EXPECT_TRUE(w->changed());
-    w->reported();
+    w->heartbeat_sent();
     answer(*w, 2);
     EXPECT_FALSE(w->changed());
     pass(*w, 6s);
@@ -269,31 +268,33 @@
     EXPECT_TRUE(w->changed());
 }
 
-TEST_F(HollowWorkerTest, ReportsAreNumbered) {
+TEST_F(SimulatedAgentTest, HeartbeatsAreNumbered) {
     const auto w = worker("n-1");
     const auto first = w->heartbeat().sequence;
     EXPECT_EQ(w->heartbeat().sequence, first + 1);
 }
 
-TEST_F(HollowWorkerTest, AGangRunsAndEndsTogether) {
+TEST_F(SimulatedAgentTest, AGangRunsAndEndsTogether) {
     job("job-1", core::Kind::gang, 3);
     const auto a = worker("n-1");
     const auto b = worker("n-2");
     answer(*a, 1, {start("job-1", 0), start("job-1", 1)});
     pass(*a, 1s);
-    EXPECT_EQ(told(*a), seen("job-1/0", TaskState::waiting) + seen("job-1/1", TaskState::waiting));
+    EXPECT_EQ(tasks_of(*a),
+              seen("job-1/0", TaskState::waiting) + seen("job-1/1", TaskState::waiting));
     answer(*b, 1, {start("job-1", 2)});
     pass(*b, 1s);
-    EXPECT_EQ(told(*a), seen("job-1/0", TaskState::running) + seen("job-1/1", TaskState::running));
-    EXPECT_EQ(told(*b), seen("job-1/2", TaskState::running));
+    EXPECT_EQ(tasks_of(*a),
+              seen("job-1/0", TaskState::running) + seen("job-1/1", TaskState::running));
+    EXPECT_EQ(tasks_of(*b), seen("job-1/2", TaskState::running));
     answer(*a, 1);
     answer(*b, 1);
     pass(*b, 10s);
-    EXPECT_EQ(told(*a), seen("job-1/0", TaskState::exited, ExitCause::done) +
-                            seen("job-1/1", TaskState::exited, ExitCause::done));
+    EXPECT_EQ(tasks_of(*a), seen("job-1/0", TaskState::exited, ExitCause::done) +
+                                seen("job-1/1", TaskState::exited, ExitCause::done));
 }
 
-TEST_F(HollowWorkerTest, ALostTaskEndsItsGang) {
+TEST_F(SimulatedAgentTest, ALostTaskEndsItsGang) {
     job("job-1", core::Kind::gang, 2);
     const auto a = worker("n-1");
     const auto b = worker("n-2");
@@ -302,13 +303,13 @@
     pass(*a, 1s);
     pass(*b, 0s);
     b->die(now_);
-    EXPECT_EQ(told(*a), seen("job-1/0", TaskState::running, ExitCause::peers));
+    EXPECT_EQ(tasks_of(*a), seen("job-1/0", TaskState::running, ExitCause::peers));
     pass(*a, 4s);
-    EXPECT_EQ(told(*a), seen("job-1/0", TaskState::exited, ExitCause::peers));
-    EXPECT_EQ(workplace_.running(), 0U);
+    EXPECT_EQ(tasks_of(*a), seen("job-1/0", TaskState::exited, ExitCause::peers));
+    EXPECT_EQ(oracle_.running(), 0U);
 }
 
-TEST_F(HollowWorkerTest, AGangThatIsNotCompleteGivesUp) {
+TEST_F(SimulatedAgentTest, AGangThatIsNotCompleteGivesUp) {
     job("job-1", core::Kind::gang, 2);
     const auto a = worker("n-1");
     answer(*a, 1, {start("job-1", 0)});
@@ -317,10 +318,10 @@
         answer(*a, 1);
     }
     pass(*a, 7s);
-    EXPECT_EQ(told(*a), seen("job-1/0", TaskState::exited, ExitCause::alone));
+    EXPECT_EQ(tasks_of(*a), seen("job-1/0", TaskState::exited, ExitCause::alone));
 }
 
-TEST_F(HollowWorkerTest, BrokenRulesAreCounted) {
+TEST_F(SimulatedAgentTest, BrokenRulesAreCounted) {
     job("job-1");
     job("job-2", core::Kind::array, 2, "narrow");
     const auto a = worker("n-1");
@@ -328,15 +329,15 @@
     answer(*a, 1, {start("job-1", 0), start("job-2", 0)});
     answer(*b, 1, {start("job-1", 0, 2), start("job-2", 1)});
     pass(*a, 1s);
-    EXPECT_EQ(workplace_.counts().ran_twice + workplace_.counts().quota, 0U);
+    EXPECT_EQ(oracle_.counts().ran_twice + oracle_.counts().quota, 0U);
     pass(*b, 0s);
-    EXPECT_EQ(workplace_.counts().ran_twice, 1U);
-    EXPECT_EQ(workplace_.counts().quota, 1U);
-    workplace_.job("job-1")->cancelled = now_;
-    workplace_.check(now_ + 16s);
-    EXPECT_EQ(workplace_.counts().ran_cancelled, 0U);
-    workplace_.check(now_ + 17s);
-    EXPECT_EQ(workplace_.counts().ran_cancelled, 2U);
+    EXPECT_EQ(oracle_.counts().ran_twice, 1U);
+    EXPECT_EQ(oracle_.counts().quota, 1U);
+    oracle_.job("job-1")->cancelled = now_;
+    oracle_.check(now_ + 16s);
+    EXPECT_EQ(oracle_.counts().ran_cancelled, 0U);
+    oracle_.check(now_ + 17s);
+    EXPECT_EQ(oracle_.counts().ran_cancelled, 2U);
 }
 
 TEST(HttpReader, CutsAStreamIntoMessages) {
