--- a/scale/cloud.cpp
+++ b/scale/cloud.cpp
@@ -26,7 +26,7 @@
 
 std::string Cloud::add(const std::string& zone) {
     auto digits = std::to_string(++numbers_);
-    const auto name = "n-" + std::string(6 - std::min<std::size_t>(digits.size(), 6), '0') + digits;
+    auto name = "n-" + std::string(6 - std::min<std::size_t>(digits.size(), 6), '0') + digits;
     machines_[name] = {zone, "", "starting", Clock::now()};
     ++charged_;
     return name;
--- a/scale/controllers.cpp
+++ b/scale/controllers.cpp
@@ -110,6 +110,7 @@
     if (process.pid > 0) return;
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (::getppid() != parent) ::_exit(127);
+    // NOLINTNEXTLINE(concurrency-mt-unsafe): the child of a fork has this thread alone
     ::setenv("LOG_LEVEL", "error", 0);
     ::execl(program_.c_str(), program_.c_str(), "serve", "--config", process.file.c_str(),
             "--operator", own.c_str(), nullptr);
--- a/scale/run.cpp
+++ b/scale/run.cpp
@@ -24,6 +24,7 @@
 
 std::vector<int> state_ports(const ScaleSettings& settings) {
     std::vector<int> out;
+    out.reserve(static_cast<std::size_t>(settings.controllers.count));
     for (int i = 0; i < settings.controllers.count; ++i) out.push_back(settings.state_port(i));
     return out;
 }
--- a/scale/run.hpp
+++ b/scale/run.hpp
@@ -1,4 +1,4 @@
-// One scale run from beginning to end.
+/// One scale run from beginning to end; called by `main`.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,6 +9,7 @@
 namespace bendspindle::scale {
 
 /// How a run went, beside its figures.
+// NOLINTNEXTLINE(bugprone-exception-escape): of the JSON library, whose moves do not throw
 struct RunResult {
     nlohmann::json figures;
     bool rule_broken = false;
--- a/scale/simulated_agents.cpp
+++ b/scale/simulated_agents.cpp
@@ -3,6 +3,7 @@
 #include <arpa/inet.h>
 
 #include <algorithm>
+#include <array>
 
 #include "wire/agent_messages.hpp"
 #include "wire/cbor.hpp"
@@ -59,8 +60,10 @@
 SimulatedAgents::~SimulatedAgents() = default;
 
 std::string SimulatedAgents::address(int number, int port) {
-    in_addr at{htonl(host_of(number))};
-    return std::string(::inet_ntoa(at)) + ":" + std::to_string(port);
+    const in_addr host{htonl(host_of(number))};
+    std::array<char, INET_ADDRSTRLEN> text{};
+    ::inet_ntop(AF_INET, &host, text.data(), text.size());
+    return std::string(text.data()) + ":" + std::to_string(port);
 }
 
 Seconds SimulatedAgents::between(double least, double most) {
--- a/scale/task_oracle.hpp
+++ b/scale/task_oracle.hpp
@@ -60,8 +60,8 @@
 /// has its image until it is gone.
 class TaskOracle {
   public:
-    TaskOracle(std::vector<core::Team> teams, Seconds cancel) : cancel_(cancel) {
-        for (auto& team : teams) teams_[team.name].limit = team.limit;
+    TaskOracle(const std::vector<core::Team>& teams, Seconds cancel) : cancel_(cancel) {
+        for (const auto& team : teams) teams_[team.name].limit = team.limit;
     }
 
     /// Null: nobody has submitted it.
