--- a/scale/main.cpp
+++ b/scale/main.cpp
@@ -28,6 +28,7 @@
 
 }  // namespace
 
+// NOLINTNEXTLINE(bugprone-exception-escape): only declaring options and printing could still throw
 int main(int argc, char** argv) {
     CLI::App app{
         "Plays a large deployment: real controller processes over loopback, a stand-in state "
