--- a/scale/controllers.cpp
+++ b/scale/controllers.cpp
@@ -96,7 +96,7 @@
     std::ofstream(process.file) << all.dump();
 }
 
-// The fleet's size is the run's: idle machines stay.
+// The agents's size is the run's: idle machines stay.
 void Controllers::write_operator_settings() {
     std::ofstream(directory_ / "operator") << "((idle-return-s 100000))\n";
 }
@@ -110,6 +110,7 @@
     if (process.pid > 0) return;
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (::getppid() != parent) ::_exit(127);
+    // NOLINTNEXTLINE(concurrency-mt-unsafe): the child of a fork has this thread alone
     ::setenv("LOG_LEVEL", "error", 0);
     ::execl(program_.c_str(), program_.c_str(), "serve", "--config", process.file.c_str(),
             "--operator", own.c_str(), nullptr);
