--- a/src/agents/agent_command_client.cpp
+++ b/src/agents/agent_command_client.cpp
@@ -47,18 +47,16 @@
                 if (answer->status == 200 && heartbeat) outcome = core::CommandOutcome::executed;
             }
         }
-        const std::lock_guard lock(leader_state_.mutex);
-        if (!leader_state_.controller || leader_state_.controller->term() != call.fencing_token)
-            continue;
-        leader_state_.controller->called(call, outcome, heartbeat ? &*heartbeat : nullptr,
-                                         Clock::now());
-        leader_state_.want_write();
+        auto access = leader_state_.lock();
+        if (!access.controller() || access.controller()->term() != call.fencing_token) continue;
+        access.controller()->called(call, outcome, heartbeat ? &*heartbeat : nullptr, Clock::now());
+        access.request_write();
         // A machine that has just been confirmed, or answered under another session, has work; one
         // that was told to stop tasks may have room.
         const bool stops = std::any_of(
             call.commands.begin(), call.commands.end(),
             [](const auto& command) { return command.verb == core::TaskCommand::Verb::stop; });
-        if (call.commands.empty() || stops) leader_state_.want_place();
+        if (call.commands.empty() || stops) access.request_placement();
     }
 }
 
--- a/src/agents/heartbeat_handler.cpp
+++ b/src/agents/heartbeat_handler.cpp
@@ -82,21 +82,21 @@
 }
 
 wire::Response HeartbeatHandler::at_leader(const core::Heartbeat& heartbeat, std::uint64_t term) {
-    const std::lock_guard lock(leader_state_.mutex);
+    auto access = leader_state_.lock();
     if (!replication_.may_renew()) return wire::unavailable("another controller may act");
     // Guard against ran_cancelled: before the records are loaded this controller knows no more than
     // a follower, and renews no more than one. Each of several leaders that follow each other
     // quickly used to give every machine another lease, and none of them a stop.
-    if (!leader_state_.controller) return renew_without_leader(heartbeat, term);
-    const auto before = leader_state_.controller->counts();
-    const auto answer = leader_state_.controller->heartbeat(heartbeat, clock_());
+    if (!access.controller()) return renew_without_leader(heartbeat, term);
+    const auto before = access.controller()->counts();
+    const auto answer = access.controller()->heartbeat(heartbeat, clock_());
     if (!answer.entitled) return wire::unavailable("another controller acts");
-    log_answer(heartbeat, before, leader_state_.controller->counts(), answer.commands);
-    leader_state_.want_write();
+    log_answer(heartbeat, before, access.controller()->counts(), answer.commands);
+    access.request_write();
     const bool changed =
         std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
                     [](const auto& t) { return t.state == core::TaskState::exited; });
-    if (changed) leader_state_.want_place();
+    if (changed) access.request_placement();
     return {200, 0, wire::commands_body(answer.fencing_token, answer.commands)};
 }
 
--- /dev/null
+++ b/src/api/job_cancellation.cpp
@@ -0,0 +1,87 @@
+#include "api/job_cancellation.hpp"
+
+#include <chrono>
+
+#include "api/commit_limit.hpp"
+#include "wire/users.hpp"
+
+namespace bendspindle::api {
+
+JobCancellationHandler::JobCancellationHandler(leadership::Leadership& leadership,
+                                               leadership::Peers& peers,
+                                               leadership::CancellationReplication& replication,
+                                               state::LeaderState& leader_state,
+                                               state::JobWatch& job_watch, JobRecords& records)
+    : leadership_(leadership),
+      peers_(peers),
+      replication_(replication),
+      leader_state_(leader_state),
+      job_watch_(job_watch),
+      records_(records) {}
+
+wire::Response JobCancellationHandler::handle(const std::string& id, agents::RequestOrigin origin) {
+    if (!wire::valid_job_id(id)) return {404, 0, wire::error_body("no such job")};
+    if (auto response = records_.from_terminal_cache(id, TaskCounts::omitted)) return *response;
+    if (leadership_.status().leading) return cancel_as_leader(id);
+    if (origin == agents::RequestOrigin::peer) return wire::unavailable("another controller acts");
+    if (auto response =
+            leadership::forward_to_leader(wire::peer::Op::cancel, id, {}, leadership_, peers_))
+        return *response;
+    return wire::unavailable("no controller acts");
+}
+
+wire::Response JobCancellationHandler::cancel_as_leader(const std::string& id) {
+    if (!leadership_.lease_valid())
+        return wire::unavailable("the state service does not answer", 2);
+    std::uint64_t term = 0;
+    bool known = false;
+    {
+        const auto access = leader_state_.lock();
+        if (access.controller() == nullptr) return wire::unavailable("taking over");
+        term = access.controller()->term();
+        known = access.controller()->knows(id);
+    }
+    if (!known)
+        if (auto response = adopt_unknown(id, term)) return *response;
+    if (!replication_.replicate_cancellation(id, term))
+        return wire::unavailable("the other controllers cannot be told");
+    if (auto response = cancel_replicated(id, term)) return *response;
+    if (auto response = records_.from_terminal_cache(id, TaskCounts::omitted)) return *response;
+    // Its write may have been executed without an answer.
+    if (auto response = records_.read_paced(id, TaskCounts::omitted);
+        wire::terminal_state_in_status(response.body))
+        return response;
+    return wire::unavailable("the cancellation could not be recorded in time");
+}
+
+std::optional<wire::Response> JobCancellationHandler::adopt_unknown(const std::string& id,
+                                                                    std::uint64_t term) {
+    auto response = records_.read(id, TaskCounts::omitted);
+    if (response.status != 200 || wire::terminal_state_in_status(response.body)) return response;
+    if (!job_watch_.adopt_one(id, term)) return wire::unavailable("the job is not loaded");
+    return std::nullopt;
+}
+
+std::optional<wire::Response> JobCancellationHandler::cancel_replicated(const std::string& id,
+                                                                        std::uint64_t term) {
+    auto access = leader_state_.lock();
+    auto* const controller = access.controller_of(term);
+    if (controller == nullptr) return wire::unavailable("taking over");
+    // Guard against ran_cancelled: a former leader that reaches neither the store nor this one
+    // renewed the leases of its agents through an outage, and nobody was left to end them. With
+    // enough peers that know the leader it finds no majority to prove its leadership.
+    if (controller->in_doubt(id) && !replication_.known_to_enough())
+        return wire::unavailable("the other controllers are being told who acts");
+    controller->cancel(id, std::chrono::steady_clock::now());
+    access.request_placement();  // its stops go out at once
+    access.request_write();
+    access.wait_for_commit(commit_limit, [&] {
+        const auto* const present = access.controller();
+        if (present == nullptr || !present->knows(id)) return true;
+        const auto status = present->status(id);
+        return status && status->terminal_state != core::TerminalState::none;
+    });
+    return std::nullopt;
+}
+
+}  // namespace bendspindle::api
--- /dev/null
+++ b/src/api/job_records.cpp
@@ -0,0 +1,102 @@
+#include "api/job_records.hpp"
+
+#include <utility>
+
+#include "state/keys.hpp"
+#include "wire/records.hpp"
+#include "wire/users.hpp"
+
+namespace bendspindle::api {
+
+namespace {
+
+using Clock = std::chrono::steady_clock;
+
+// An open job's state that was asked for longer ago is read once more before it is answered: this
+// controller may have been suspended, and others have answered with newer states meanwhile.
+constexpr std::chrono::milliseconds fresh_for{500};
+
+core::JobStatus status_of(core::TerminalState terminal_state) {
+    return core::JobStatus{terminal_state, 0, 0};
+}
+
+core::JobStatus status_of(const core::JobRecord& record) {
+    core::JobStatus status;
+    for (const auto& [first, last] : record.done) status.done += last - first + 1;
+    return status;
+}
+
+}  // namespace
+
+wire::Response status_response(const std::string& id, const core::JobStatus& status,
+                               TaskCounts counts) {
+    return {200, 0, wire::status_body(id, status, counts == TaskCounts::included)};
+}
+
+bool may_be_outdated(const wire::Response& response, Clock::time_point asked) {
+    if (Clock::now() - asked <= fresh_for) return false;
+    if (response.status == 404) return true;
+    return response.status == 200 && !wire::terminal_state_in_status(response.body);
+}
+
+JobRecords::JobRecords(state::KeyValueStore& store, state::TerminalStateCache& terminal_states,
+                       TokenBucket polls)
+    : store_(store), terminal_states_(terminal_states), polls_(polls) {}
+
+std::optional<wire::Response> JobRecords::from_terminal_cache(const std::string& id,
+                                                              TaskCounts counts) const {
+    const auto terminal_state = terminal_states_.get(id);
+    if (!terminal_state) return std::nullopt;
+    return status_response(id, status_of(*terminal_state), counts);
+}
+
+void JobRecords::remember_terminal_state(const std::string& id, const wire::Response& response) {
+    if (const auto terminal_state = wire::terminal_state_in_status(response.body))
+        terminal_states_.put(id, *terminal_state);
+}
+
+// Guard against lost leases under a flood of polls: without a leader each poll reads records, and
+// the store refused renewals and writes together with them.
+wire::Response JobRecords::read_paced(const std::string& id, TaskCounts counts) {
+    {
+        const std::lock_guard lock(polls_mutex_);
+        if (!polls_.take(Clock::now())) return wire::unavailable("too many questions at once");
+    }
+    return read(id, counts);
+}
+
+wire::Response JobRecords::read_paced_of_open_job(const std::string& id, TaskCounts counts) {
+    auto response = read_paced(id, counts);
+    return response.status == 404 ? wire::unavailable("the job is being recorded") : response;
+}
+
+wire::Response JobRecords::read(const std::string& id, TaskCounts counts) {
+    const auto asked = Clock::now();
+    auto response = read_once(id, counts);
+    return may_be_outdated(response, asked) ? read_once(id, counts) : response;
+}
+
+// The open record is read first: a job that ends between the two reads is found by the second.
+wire::Response JobRecords::read_once(const std::string& id, TaskCounts counts) {
+    const auto open = store_.get(state::keys::job(id));
+    if (open.outcome == state::StoreStatus::absent) return read_terminal_record(id, counts);
+    if (open.outcome != state::StoreStatus::ok)
+        return wire::unavailable("the state service does not answer");
+    const auto record = wire::parse_job_record(open.entry.value);
+    if (!record) return wire::unavailable("the record cannot be read");
+    return status_response(id, status_of(*record), counts);
+}
+
+wire::Response JobRecords::read_terminal_record(const std::string& id, TaskCounts counts) {
+    const auto over = store_.get(state::keys::over(id));
+    if (over.outcome == state::StoreStatus::absent)
+        return {404, 0, wire::error_body("no such job")};
+    if (over.outcome != state::StoreStatus::ok)
+        return wire::unavailable("the state service does not answer");
+    const auto terminal_state = wire::parse_terminal_record(over.entry.value);
+    if (!terminal_state) return wire::unavailable("the record cannot be read");
+    terminal_states_.put(id, *terminal_state);
+    return status_response(id, status_of(*terminal_state), counts);
+}
+
+}  // namespace bendspindle::api
--- /dev/null
+++ b/src/api/job_submission.cpp
@@ -0,0 +1,110 @@
+#include "api/job_submission.hpp"
+
+#include <chrono>
+#include <utility>
+
+#include "api/commit_limit.hpp"
+#include "wire/users.hpp"
+
+namespace bendspindle::api {
+
+namespace {
+
+using Clock = std::chrono::steady_clock;
+
+// A follower's 201 does not read the job's state; so soon after its transaction was sent nobody can
+// have answered with a newer one.
+constexpr std::chrono::milliseconds created_is_fresh_for{50};
+
+}  // namespace
+
+JobSubmissionHandler::JobSubmissionHandler(const config::Settings& settings,
+                                           const leadership::Leadership& leadership,
+                                           state::LeaderState& leader_state,
+                                           state::JobAdmission& admission, JobRecords& records)
+    : settings_(settings),
+      leadership_(leadership),
+      leader_state_(leader_state),
+      admission_(admission),
+      records_(records) {}
+
+wire::Response JobSubmissionHandler::handle(const std::string& body) {
+    const auto parsed = wire::parse_job(body);
+    if (!parsed.job) return {400, 0, wire::error_body(parsed.error)};
+    if (auto response = records_.from_terminal_cache(parsed.job->id, TaskCounts::omitted))
+        return *response;
+    if (!leadership_.status().leading) return admit_as_follower(*parsed.job);
+    if (!leadership_.lease_valid())
+        return wire::unavailable("the state service does not answer", 2);
+    return admit_as_leader(*parsed.job);
+}
+
+wire::Response JobSubmissionHandler::admit_as_leader(const core::JobSpec& spec) {
+    const auto& id = spec.id;
+    auto access = leader_state_.lock();
+    if (access.controller() == nullptr) {
+        access.unlock();
+        return admit_as_follower(spec);
+    }
+    // Guard against overwriting what another version may be able to read.
+    if (access.controller()->quarantined(id))
+        return wire::unavailable("the record cannot be read", 5);
+    const auto verdict = access.controller()->check(spec);
+    if (verdict == core::Verdict::not_ready)
+        return wire::unavailable("machine types are not known yet");
+    if (verdict == core::Verdict::never_fits && !access.controller()->knows(id)) {
+        access.unlock();
+        return answer_never_fits(id);
+    }
+    const bool is_new =
+        access.controller()->accept(spec, std::chrono::system_clock::now(), Clock::now());
+    access.request_write();
+    access.wait_for_commit(commit_limit, [&] {
+        const auto* const controller = access.controller();
+        return controller == nullptr || !controller->knows(id) || controller->durable(id);
+    });
+    // Guard against went_back: the wait may have been long, and the lease is gone since.
+    if (const auto* const controller = access.controller();
+        controller != nullptr && leadership_.lease_valid()) {
+        if (const auto status = controller->status(id)) {
+            auto response = status_response(id, *status, TaskCounts::omitted);
+            if (is_new && !controller->found(id)) response.status = 201;
+            return response;
+        }
+    }
+    access.unlock();
+    // It has ended already, or a write was not committed in time.
+    if (auto response = records_.from_terminal_cache(id, TaskCounts::omitted)) return *response;
+    return records_.read_paced_of_open_job(id, TaskCounts::omitted);
+}
+
+wire::Response JobSubmissionHandler::admit_as_follower(const core::JobSpec& spec) {
+    const auto verdict = core::judge(spec, settings_.teams, leader_state_.machine_types());
+    if (verdict == core::Verdict::not_ready)
+        return wire::unavailable("machine types are not known yet");
+    if (verdict == core::Verdict::never_fits) return answer_never_fits(spec.id);
+    core::JobRecord record;
+    record.spec = spec;
+    record.submitted = std::chrono::system_clock::now();
+    const auto answer = admission_.accept(std::move(record));
+    if (answer.outcome == state::JobAdmission::Result::failed)
+        return wire::unavailable("the job could not be recorded in time");
+    const bool is_new = answer.outcome == state::JobAdmission::Result::accepted;
+    if (is_new && Clock::now() - answer.sent <= created_is_fresh_for)
+        return {201, 0, wire::status_body(spec.id, core::JobStatus{}, false)};
+    // Guard against went_back: with the transaction's answer held up for a second the 201 "queued"
+    // left after others had answered with the job's end.
+    auto response = records_.read(spec.id, TaskCounts::omitted);
+    if (response.status == 404) return wire::unavailable("the record is changing");
+    if (is_new && response.status == 200) response.status = 201;
+    return response;
+}
+
+// It may have been admitted before teams or types changed; what was admitted stays so.
+wire::Response JobSubmissionHandler::answer_never_fits(const std::string& id) {
+    auto response = records_.read(id, TaskCounts::omitted);
+    if (response.status == 404) return {422, 0, wire::error_body("the job can never run")};
+    return response;
+}
+
+}  // namespace bendspindle::api
--- a/src/api/token_bucket.hpp
+++ b/src/api/token_bucket.hpp
@@ -1,4 +1,6 @@
-// So many a second, with what some seconds allow in hand at most. Pure: the time is passed in.
+/// A rate limit: so many a second, with what some seconds allow saved up at most.
+///
+/// Pure: the time is passed in. Not synchronized; its owner guards it.
 #pragma once
 
 #include <algorithm>
@@ -9,22 +11,24 @@
 
 class TokenBucket {
   public:
-    TokenBucket(double per_second, core::Seconds in_hand)
-        : rate_(per_second), most_(per_second * in_hand.count()), left_(most_) {}
-    // Takes one if there is one.
-    bool take(core::TimePoint now) {
+    /// Full at first: what `burst` allows at `per_second`.
+    TokenBucket(double per_second, core::Seconds burst)
+        : rate_(per_second), capacity_(per_second * burst.count()), tokens_(capacity_) {}
+
+    /// Takes a token if there is one.
+    [[nodiscard]] bool take(core::TimePoint now) {
         if (last_ != core::TimePoint{})
-            left_ = std::min(most_, left_ + core::between(last_, now).count() * rate_);
+            tokens_ = std::min(capacity_, tokens_ + core::between(last_, now).count() * rate_);
         last_ = now;
-        if (left_ < 1) return false;
-        left_ -= 1;
+        if (tokens_ < 1) return false;
+        tokens_ -= 1;
         return true;
     }
 
   private:
-    const double rate_;
-    const double most_;
-    double left_;
+    double rate_;
+    double capacity_;
+    double tokens_;
     core::TimePoint last_{};
 };
 
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -53,7 +53,7 @@
         return;
     }
     next_catalog_ = Clock::now() + catalog_every;
-    leader_state_.learn_types(std::move(*types));
+    leader_state_.set_machine_types(std::move(*types));
 }
 
 void CloudClient::read_list() {
@@ -70,8 +70,8 @@
         if (!list->more || machines.empty()) break;
         after = machines.back().name;
     }
-    const std::lock_guard lock(leader_state_.mutex);
-    if (leader_state_.controller) leader_state_.controller->listed(machines, asked, Clock::now());
+    auto access = leader_state_.lock();
+    if (access.controller()) access.controller()->listed(machines, asked, Clock::now());
 }
 
 void CloudClient::rent(const core::ScaleOutRequest& request, std::uint64_t term) {
@@ -89,10 +89,10 @@
         }
         spdlog::info("rent {} {} in {}{}: {} of {}", request.request, request.type, request.zone,
                      request.spot ? " (spot)" : "", names.size(), request.count);
-        const std::lock_guard lock(leader_state_.mutex);
-        if (leader_state_.controller && leader_state_.controller->term() == term)
-            leader_state_.controller->scaled_out(request, names, Clock::now());
-        leader_state_.want_write();
+        auto access = leader_state_.lock();
+        if (access.controller() && access.controller()->term() == term)
+            access.controller()->scaled_out(request, names, Clock::now());
+        access.request_write();
         return;
     }
 }
@@ -107,11 +107,11 @@
     const auto answer = client_.post(wire::path::release, wire::release_body(names));
     if (!answer || answer->status != 200) return;
     spdlog::info("released {} machines, first {}", names.size(), names.front());
-    const std::lock_guard lock(leader_state_.mutex);
-    if (!leader_state_.controller || leader_state_.controller->term() != term) return;
-    leader_state_.controller->released(names);
-    leader_state_.want_write();
-    leader_state_.want_place();
+    auto access = leader_state_.lock();
+    if (!access.controller() || access.controller()->term() != term) return;
+    access.controller()->released(names);
+    access.request_write();
+    access.request_placement();
 }
 
 void CloudClient::run() {
@@ -121,11 +121,11 @@
         std::uint64_t term = 0;
         bool leading = false;
         {
-            const std::lock_guard lock(leader_state_.mutex);
-            if (leader_state_.controller) {
+            auto access = leader_state_.lock();
+            if (access.controller()) {
                 leading = true;
-                term = leader_state_.controller->term();
-                plan = leader_state_.controller->plan_scaling(Clock::now());
+                term = access.controller()->term();
+                plan = access.controller()->plan_scaling(Clock::now());
             }
         }
         // What frees tasks for placing anew goes before what adds room.
--- /dev/null
+++ b/src/daemon/announcements.cpp
@@ -0,0 +1,35 @@
+#include "daemon/announcements.hpp"
+
+#include <chrono>
+#include <thread>
+
+#include "io/log.hpp"
+
+namespace bendspindle::daemon {
+
+namespace {
+
+constexpr std::chrono::milliseconds interval{1000};
+
+}  // namespace
+
+Announcements::Announcements(leadership::LeaderElector& elector,
+                             leadership::CancellationReplication& replication,
+                             agents::HeartbeatHandler& heartbeats)
+    : elector_(elector), replication_(replication), heartbeats_(heartbeats) {}
+
+void Announcements::run() {
+    for (;;) {
+        replication_.round();
+        if (elector_.status().leading) yield_if_unreachable();
+        std::this_thread::sleep_for(interval);
+    }
+}
+
+void Announcements::yield_if_unreachable() {
+    if (!heartbeats_.unreached()) return;
+    io::log::info("leadership_yielded", "reason", "agents_reach_peers_only");
+    elector_.yield_leadership();
+}
+
+}  // namespace bendspindle::daemon
--- /dev/null
+++ b/src/daemon/placement_loop.cpp
@@ -0,0 +1,82 @@
+#include "daemon/placement_loop.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <chrono>
+#include <string>
+#include <thread>
+#include <utility>
+
+#include "io/log.hpp"
+
+namespace bendspindle::daemon {
+
+namespace {
+
+using Clock = std::chrono::steady_clock;
+
+constexpr std::chrono::milliseconds least_between_cycles{250};
+
+// What the time until each start went into, for those who want to know: at debug level.
+// tools/reports.py reads these lines.
+void log_started_jobs(core::Controller& controller) {
+    const auto seconds = [](core::Seconds value) { return fmt::format("{:.2f}", value.count()); };
+    for (const auto& start : controller.take_started()) {
+        if (!spdlog::should_log(spdlog::level::debug)) continue;
+        io::log::debug("job_started", "job", start.job, "class", start.job_class, "team",
+                       start.team, "tasks", start.tasks, "total_s", seconds(start.total()),
+                       "record_s", seconds(start.record), "capacity_s", seconds(start.room),
+                       "preempted_others", start.stopped_others, "preemption_s",
+                       seconds(start.saves), "heartbeat_s", seconds(start.heartbeat), "image_s",
+                       seconds(start.image));
+    }
+}
+
+}  // namespace
+
+PlacementLoop::PlacementLoop(core::Seconds interval, state::LeaderState& leader_state,
+                             leadership::LeaderElector& elector,
+                             const leadership::CancellationReplication& replication,
+                             agents::AgentCommandClient& agent_commands)
+    : interval_(interval),
+      leader_state_(leader_state),
+      elector_(elector),
+      replication_(replication),
+      agent_commands_(agent_commands) {}
+
+void PlacementLoop::run() {
+    auto next = Clock::now();
+    for (;;) {
+        auto access = leader_state_.lock();
+        access.wait_for_placement_request(interval_);
+        if (Clock::now() < next) {
+            access.unlock();
+            std::this_thread::sleep_until(next);
+            access.relock();
+        }
+        access.take_placement_request();
+        auto commands = cycle(access);
+        access.unlock();
+        for (auto& command : commands) agent_commands_.send(std::move(command));
+        next = Clock::now() + least_between_cycles;
+    }
+}
+
+std::vector<core::DirectCommand> PlacementLoop::cycle(state::LeaderState::Access& access) {
+    auto* const controller = access.controller();
+    if (controller == nullptr) return {};
+    controller->hold_terminal_states_until(elector_.terminal_states_allowed_from());
+    controller->cycle(Clock::now());
+    // Guard against ran_cancelled: a former leader went on starting by direct command, in the agent
+    // epoch that followed the lease it no longer renewed, what another had cancelled
+    // (DirectCommands.OneThatMayNotRenewStartsNothing).
+    auto commands = controller->direct_commands(Clock::now(), replication_.may_renew());
+    log_started_jobs(*controller);
+    if (auto& progress = access.failover_progress()) {
+        progress->look(*controller, Clock::now());
+        if (progress->progressed(Clock::now())) elector_.made_progress();
+    }
+    return commands;
+}
+
+}  // namespace bendspindle::daemon
--- a/src/daemon/service.hpp
+++ b/src/daemon/service.hpp
@@ -1,74 +1,48 @@
-// One controller: routes what users and workers ask to whoever acts, and acts when it is its turn.
+/// One controller: its parts, wired to each other, and the threads they run on.
+///
+/// Followers route what users and agents ask to the leader; the leader schedules. What each part
+/// owns stands in its own header; here is only who knows whom, and who runs when.
 #pragma once
 
-#include <atomic>
-#include <memory>
-#include <mutex>
-#include <optional>
-#include <string>
-
 #include "agents/agent_command_client.hpp"
 #include "agents/heartbeat_handler.hpp"
-#include "api/token_bucket.hpp"
+#include "api/health.hpp"
+#include "api/job_cancellation.hpp"
+#include "api/job_records.hpp"
+#include "api/job_status.hpp"
+#include "api/job_submission.hpp"
+#include "api/peer_requests.hpp"
 #include "cloud/cloud_client.hpp"
 #include "config/settings.hpp"
+#include "daemon/announcements.hpp"
+#include "daemon/failover.hpp"
+#include "daemon/placement_loop.hpp"
 #include "io/http_server.hpp"
 #include "io/peer_link.hpp"
 #include "leadership/cancellation_replication.hpp"
 #include "leadership/leader_elector.hpp"
 #include "leadership/peers.hpp"
+#include "state/http_key_value_store.hpp"
 #include "state/job_admission.hpp"
-#include "state/key_value_store.hpp"
+#include "state/job_watch.hpp"
 #include "state/leader_state.hpp"
 #include "state/state_writer.hpp"
-#include "wire/response.hpp"
+#include "state/terminal_state_cache.hpp"
 
 namespace bendspindle::daemon {
 
 class Service {
   public:
     Service(config::Settings settings, config::OperatorSettings own);
-    // Serves until it is asked to stop (`stop_asked`), and ends the process then. False: an address
-    // could not be bound.
-    bool run();
+    /// Serves until it is asked to stop (`stop_asked`), and ends the process then. Returns, with
+    /// false, only if an address could not be bound.
+    [[nodiscard]] bool run();
 
   private:
-    using Clock = std::chrono::steady_clock;
-
-    // Users.
-    wire::Response submit(const std::string& body);
-    wire::Response accept_elsewhere(const core::JobSpec& spec);
-    wire::Response status(const std::string& id, agents::RequestOrigin from);
-    wire::Response cancel(const std::string& id, agents::RequestOrigin from);
-    std::optional<wire::Response> from_terminal_cache(const std::string& id, bool with_counts);
-    wire::Response from_records(const std::string& id, bool with_counts);
-    wire::Response read_records(const std::string& id, bool with_counts);
-    wire::Response poll_records(const std::string& id, bool with_counts);
-    wire::Response known_by_records(const std::string& id, bool with_counts);
-    template <typename Ready>
-    bool wait_recorded(std::unique_lock<std::mutex>& lock, Ready ready);
-
-    wire::Response answer_cancellation_snapshot(const std::string& peer);
-
-    bool healthy() const;
-    wire::peer::Answer answer_peer(const wire::peer::Request& request);
-
-    void take_over(std::uint64_t term, std::uint64_t leader_key_revision);
-    // The revision up to which records were read, if they were.
-    std::optional<std::uint64_t> load(core::Controller& controller);
-    void learn();
-    void adopt_jobs(const std::vector<wire::Entry>& entries, std::uint64_t revision,
-                    std::uint64_t term);
-    bool adopt_job(const std::string& id, std::uint64_t term);
-    void on_deposed();
-    void place();
-    static void tell_starts(core::Controller& controller);
-    void announce();
-    void yield_if_unreachable();
-    void stop_when_asked(io::HttpServer& http);
+    void start_threads(io::PeerServer& peer_server);
 
-    config::Settings settings_;
-    config::OperatorSettings own_;
+    const config::Settings settings_;
+    const config::OperatorSettings own_;
     state::HttpKeyValueStore store_;
     state::LeaderState leader_state_;
     state::TerminalStateCache terminal_states_;
@@ -77,13 +51,19 @@
     leadership::CancellationReplication replication_;
     state::StateWriter state_writer_;
     state::JobAdmission job_admission_;
+    state::JobWatch job_watch_;
     cloud::CloudClient cloud_;
     agents::AgentCommandClient agent_commands_;
     agents::HeartbeatHandler heartbeats_;
-    std::mutex reads_mutex_;
-    api::TokenBucket poll_reads_;
-    // When the acting controller last said that it acts.
-    std::atomic<Clock::time_point> leader_heard_at_{Clock::time_point{}};
+    Failover failover_;
+    PlacementLoop placement_loop_;
+    Announcements announcements_;
+    api::JobRecords job_records_;
+    api::JobSubmissionHandler job_submission_;
+    api::JobStatusHandler job_status_;
+    api::JobCancellationHandler job_cancellation_;
+    api::Health health_;
+    api::PeerRequests peer_requests_;
 };
 
 }  // namespace bendspindle::daemon
--- a/src/state/key_value_store.cpp
+++ b/src/state/http_key_value_store.cpp
@@ -1,12 +1,12 @@
-#include "state/key_value_store.hpp"
+#include "state/http_key_value_store.hpp"
 
 namespace bendspindle::state {
 
 namespace {
 
 constexpr std::chrono::milliseconds call_limit{1500};
-// Records are a few hundred bytes, an answer holds up to 512 KiB. A takeover of 2,000 machines took
-// 25 calls one after the other with pages of 100.
+// Records are a few hundred bytes, an answer holds up to 512 KiB. A failover with 2,000 machines
+// took 25 calls one after the other with pages of 100.
 constexpr unsigned page = 400;
 
 }  // namespace
--- a/src/state/leader_state.hpp
+++ b/src/state/leader_state.hpp
@@ -1,129 +1,127 @@
-// What the threads of an acting controller share, behind one short lock. No lock is held across a
-// call out: threads take what they need, unlock, call, and come back with the outcome.
+/// What the threads of a controller share: the core while this controller is the leader, and the
+/// cloud's machine types, which followers need too.
+///
+/// Everything that belongs to the leader is reached through `lock()` only. The lock is short: no
+/// call to another process is made under it. A thread takes what it needs, unlocks, calls, and
+/// comes back with the outcome; it then checks the term, since it may have been deposed meanwhile.
+///
+/// Lock order, outermost first: the leader mutex (here); then, never two of them at once, the
+/// machine types' mutex (here), the mutexes of `leadership::CancellationReplication` and
+/// `leadership::LeaderElector`, and that of `TerminalStateCache`. None of these is held while the
+/// leader mutex is taken.
 #pragma once
 
-#include <algorithm>
+#include <chrono>
 #include <condition_variable>
-#include <deque>
+#include <cstdint>
 #include <memory>
 #include <mutex>
 #include <optional>
-#include <string>
-#include <unordered_map>
 #include <vector>
 
 #include "core/controller.hpp"
 #include "state/failover_progress.hpp"
+#include "state/job_watch_cursor.hpp"
 
 namespace bendspindle::state {
 
-// Final states never change, so they may be kept and told by anyone. Bounded.
-class TerminalStateCache {
+class LeaderState {
   public:
-    explicit TerminalStateCache(std::size_t most) : most_(most) {}
-    void put(const std::string& id, core::TerminalState terminal_state) {
-        const std::lock_guard lock(mutex_);
-        if (!known_.try_emplace(id, terminal_state).second) return;
-        order_.push_back(id);
-        if (order_.size() <= most_) return;
-        known_.erase(order_.front());
-        order_.pop_front();
-    }
-    std::optional<core::TerminalState> get(const std::string& id) const {
-        const std::lock_guard lock(mutex_);
-        const auto it = known_.find(id);
-        if (it == known_.end()) return std::nullopt;
-        return it->second;
-    }
+    class Access;
+
+    LeaderState() = default;
+    LeaderState(const LeaderState&) = delete;
+    LeaderState& operator=(const LeaderState&) = delete;
+    LeaderState(LeaderState&&) = delete;
+    LeaderState& operator=(LeaderState&&) = delete;
+    ~LeaderState() = default;
+
+    /// Waits for the leader mutex and holds it as long as the result lives. Not recursive.
+    [[nodiscard]] Access lock();
+
+    /// The machine types of the cloud's catalog; empty until it was read. The leader plans with
+    /// them, followers judge by them what can ever run. Not for a caller that holds `lock()` and
+    /// wants `set_machine_types`, which takes it.
+    [[nodiscard]] std::vector<core::MachineType> machine_types() const;
+    [[nodiscard]] bool knows_machine_types() const;
+    void set_machine_types(std::vector<core::MachineType> types);
 
   private:
-    mutable std::mutex mutex_;
-    std::size_t most_;
-    std::unordered_map<std::string, core::TerminalState> known_;
-    std::deque<std::string> order_;
+    // Guards machine_types_. Taken while holding leader_mutex_, never the other way round.
+    mutable std::mutex machine_types_mutex_;
+    std::vector<core::MachineType> machine_types_;
+
+    // Guards everything below.
+    std::mutex leader_mutex_;
+    std::condition_variable committed_;            // a record became durable, or never will
+    std::condition_variable write_requested_;      // for the state writer
+    std::condition_variable placement_requested_;  // for the placement loop
+    std::unique_ptr<core::Controller> controller_;
+    std::optional<FailoverProgress> failover_progress_;
+    std::uint64_t leader_key_revision_ = 0;
+    JobWatchCursor job_watch_cursor_;
+    bool write_pending_ = false;
+    bool placement_pending_ = false;
 };
 
-// What news of open jobs an acting controller takes. An event of a watch or a page of a listing may
-// be read long before it is looked at; the job may have ended meanwhile and left memory. Whatever
-// was put at or before `revision` is known already or over, and of what was put later it is
-// remembered which has ended, until news reach that far. So no old news begins a job again, however
-// late it comes and whatever else has been forgotten.
-class JobWatchCursor {
+/// The leader's state, with its mutex held. References and pointers from here are valid while the
+/// mutex is held: ask again after a wait or `relock()`.
+class LeaderState::Access {
   public:
-    // Records up to this revision were read.
-    void begin(std::uint64_t revision) {
-        revision_ = revision;
-        ended_.clear();
-    }
-    std::uint64_t revision() const { return revision_; }
-    bool is_new(const std::string& id, std::uint64_t mod_revision) const {
-        return mod_revision > revision_ && !ended_.contains(id);
-    }
-    // The job's final state was recorded at this revision.
-    void ended(const std::string& id, std::uint64_t revision) {
-        if (revision > revision_) ended_[id] = revision;
-    }
-    // All news up to this revision were taken.
-    void reached(std::uint64_t revision) {
-        revision_ = std::max(revision_, revision);
-        std::erase_if(ended_, [&](const auto& entry) { return entry.second <= revision_; });
-    }
+    using Milliseconds = std::chrono::milliseconds;
 
-  private:
-    std::uint64_t revision_ = 0;
-    std::unordered_map<std::string, std::uint64_t> ended_;  // with the revisions of their ends
-};
+    explicit Access(LeaderState& state) : state_(state), lock_(state.leader_mutex_) {}
 
-struct LeaderState {
-    // The cloud's catalog. Whoever acts plans with it, others judge by it what can ever run.
-    std::vector<core::MachineType> types() const {
-        const std::lock_guard lock(types_mutex);
-        return known_types;
-    }
-    bool knows_types() const {
-        const std::lock_guard lock(types_mutex);
-        return !known_types.empty();
-    }
-    void learn_types(std::vector<core::MachineType> types) {
-        {
-            const std::lock_guard lock(types_mutex);
-            known_types = types;
-        }
-        const std::lock_guard lock(mutex);
-        if (controller) controller->set_types(std::move(types));
-    }
-    // Needs the lock. Guard against a minute without placing: a catalog that came while the
-    // records were being loaded found no controller to tell, so a new one is told here.
-    void install(std::unique_ptr<core::Controller> fresh, std::uint64_t mod_revision) {
-        if (auto now = types(); !now.empty()) fresh->set_types(std::move(now));
-        controller = std::move(fresh);
-        leader_key_revision = mod_revision;
-        want_place();
-        want_write();
-    }
+    /// Null while another controller is the leader, or while the records are being loaded.
+    [[nodiscard]] core::Controller* controller() const { return state_.controller_.get(); }
+    /// The same, if it still is the one of this term.
+    [[nodiscard]] core::Controller* controller_of(std::uint64_t term) const;
 
-    mutable std::mutex types_mutex;  // taken while holding `mutex`, never the other way round
-    std::vector<core::MachineType> known_types;
-    std::mutex mutex;
-    std::condition_variable recorded;      // something became durable, or never will
-    std::condition_variable write_wanted;  // for the recorder
-    std::condition_variable place_wanted;  // for the placing thread
-    // Null when another controller acts, or while the records are being loaded.
-    std::unique_ptr<core::Controller> controller;
-    std::optional<FailoverProgress> failover_progress;  // of the present controller
-    std::uint64_t leader_key_revision = 0;
-    JobWatchCursor news;  // of open jobs, for the present controller
-    bool write_pending = false;
-    bool place_pending = false;
-
-    void want_write() {
-        write_pending = true;
-        write_wanted.notify_one();
+    /// A controller whose records were loaded begins to lead, under this revision of the leader
+    /// key.
+    void install(std::unique_ptr<core::Controller> loaded, std::uint64_t leader_key_revision);
+    /// Deposed: those who wait for a commit are woken, and find no controller.
+    void remove_controller();
+    /// Proves leadership in each write.
+    [[nodiscard]] std::uint64_t leader_key_revision() const { return state_.leader_key_revision_; }
+    /// Of the present controller.
+    [[nodiscard]] std::optional<FailoverProgress>& failover_progress() const {
+        return state_.failover_progress_;
     }
-    void want_place() {
-        place_pending = true;
-        place_wanted.notify_one();
+    [[nodiscard]] JobWatchCursor& job_watch_cursor() const { return state_.job_watch_cursor_; }
+
+    /// Wakes the state writer: the core may have records to write.
+    void request_write();
+    [[nodiscard]] bool write_requested() const { return state_.write_pending_; }
+    /// Waits for a request, which stays until it is taken, or for so long at most.
+    void wait_for_write_request(Milliseconds limit);
+    void take_write_request() { state_.write_pending_ = false; }
+
+    /// Wakes the placement loop: tasks or capacity may have changed.
+    void request_placement();
+    [[nodiscard]] bool placement_requested() const { return state_.placement_pending_; }
+    void wait_for_placement_request(core::Seconds limit);
+    void take_placement_request() { state_.placement_pending_ = false; }
+
+    /// Wakes those who wait in `wait_for_commit`.
+    void notify_committed() { state_.committed_.notify_all(); }
+    /// Waits until `ready()`, which is called with the mutex held, or for so long at most.
+    template <typename Ready>
+    bool wait_for_commit(Milliseconds limit, Ready ready) {
+        return state_.committed_.wait_for(lock_, limit, ready);
     }
+
+    /// For a call to another process.
+    void unlock() { lock_.unlock(); }
+    void relock() { lock_.lock(); }
+
+  private:
+    LeaderState& state_;
+    std::unique_lock<std::mutex> lock_;  // of state_.leader_mutex_
 };
 
+inline LeaderState::Access LeaderState::lock() {
+    return Access(*this);
+}
+
 }  // namespace bendspindle::state
--- a/src/state/state_writer.cpp
+++ b/src/state/state_writer.cpp
@@ -38,33 +38,32 @@
       limits_(limits) {}
 
 StateWriter::Batch StateWriter::gather() {
-    const std::lock_guard lock(leader_state_.mutex);
-    auto batch = fill();
-    if (leader_state_.controller)
-        batch.terminal_states = leader_state_.controller->sent(batch.changes);
+    auto access = leader_state_.lock();
+    auto batch = fill(access);
+    if (access.controller()) batch.terminal_states = access.controller()->sent(batch.changes);
     return batch;
 }
 
 void StateWriter::not_executed(const Batch& batch) {
-    const std::lock_guard lock(leader_state_.mutex);
-    if (leader_state_.controller && leader_state_.controller->term() == batch.term)
-        leader_state_.controller->not_executed(batch.terminal_states);
+    auto access = leader_state_.lock();
+    if (access.controller() && access.controller()->term() == batch.term)
+        access.controller()->not_executed(batch.terminal_states);
 }
 
 // Needs the lock.
-StateWriter::Batch StateWriter::fill() {
+StateWriter::Batch StateWriter::fill(LeaderState::Access& access) {
     Batch batch;
-    leader_state_.write_pending = false;
-    if (!leader_state_.controller) return batch;
-    batch.term = leader_state_.controller->term();
+    access.take_write_request();
+    if (!access.controller()) return batch;
+    batch.term = access.controller()->term();
     // Ownership is proven in the same transaction: after a takeover the leader key has another
     // mod_revision, and a late write of this controller fails.
-    batch.conditions.push_back({keys::leader, leader_state_.leader_key_revision});
+    batch.conditions.push_back({keys::leader, access.leader_key_revision()});
     std::size_t bytes = 0;
     const auto now = Clock::now();
     std::erase_if(unwritable_, [&](const auto& entry) { return entry.second <= now; });
     const auto most = limits_.txn_ops + unwritable_.size() * 2;
-    for (auto& change : leader_state_.controller->changes(most, now)) {
+    for (auto& change : access.controller()->changes(most, now)) {
         using Type = core::RecordWrite::Type;
         if (unwritable_.contains(change.id)) continue;
         const std::size_t operations =
@@ -109,14 +108,14 @@
     for (const auto& change : batch.changes)
         if (change.type == core::RecordWrite::Type::finish_job)
             terminal_states_.put(change.id, change.job.terminal_state);
-    const std::lock_guard lock(leader_state_.mutex);
-    if (!leader_state_.controller || leader_state_.controller->term() != batch.term) return;
+    auto access = leader_state_.lock();
+    if (!access.controller() || access.controller()->term() != batch.term) return;
     for (const auto& change : batch.changes)
         if (change.type == core::RecordWrite::Type::finish_job)
-            leader_state_.news.ended(change.id, cas_result.revision);
-    leader_state_.controller->written(batch.changes, cas_result.revision, Clock::now());
-    leader_state_.recorded.notify_all();
-    leader_state_.want_place();
+            access.job_watch_cursor().ended(change.id, cas_result.revision);
+    access.controller()->written(batch.changes, cas_result.revision, Clock::now());
+    access.notify_committed();
+    access.request_placement();
 }
 
 // Guard against a standstill of all writing: one record that the state service calls malformed, too
@@ -169,10 +168,10 @@
         if (change.type == Type::put_job && record.outcome == StoreStatus::ok)
             elsewhere = wire::parse_job_record(record.entry.value);
         if (elsewhere && !elsewhere->home.empty()) elsewhere.reset();
-        const std::lock_guard lock(leader_state_.mutex);
-        auto* controller = leader_state_.controller.get();
+        auto access = leader_state_.lock();
+        auto* controller = access.controller();
         if (!controller || controller->term() != batch.term) return;
-        if (terminal_state) leader_state_.news.ended(change.id, terminal_mod_revision);
+        if (terminal_state) access.job_watch_cursor().ended(change.id, terminal_mod_revision);
         // Guard against went_back: what is told of the job is what the record says, not what the
         // refused write would have said.
         if (terminal_state)
@@ -183,7 +182,7 @@
             controller->set_mod_revision(
                 change.type, change.id,
                 record.outcome == StoreStatus::ok ? record.entry.mod_revision : 0);
-        leader_state_.recorded.notify_all();
+        access.notify_committed();
     }
 }
 
@@ -193,9 +192,8 @@
     auto may_write = Clock::now();
     for (;;) {
         {
-            std::unique_lock lock(leader_state_.mutex);
-            leader_state_.write_wanted.wait_for(lock, look_anyway,
-                                                [&] { return leader_state_.write_pending; });
+            auto access = leader_state_.lock();
+            access.wait_for_write_request(look_anyway);
         }
         std::this_thread::sleep_for(gather_time);
         std::this_thread::sleep_until(may_write);
--- a/src/state/state_writer.hpp
+++ b/src/state/state_writer.hpp
@@ -8,6 +8,7 @@
 #include "state/key_value_store.hpp"
 #include "state/keys.hpp"
 #include "state/leader_state.hpp"
+#include "state/terminal_state_cache.hpp"
 
 namespace bendspindle::state {
 
@@ -28,7 +29,7 @@
             terminal_states;  // jobs whose final state is sent for the first time
     };
     Batch gather();
-    Batch fill();
+    Batch fill(LeaderState::Access& access);
     void not_executed(const Batch& batch);
     void settle(const Batch& batch, const CasResult& cas_result);
     void find_unwritable(const Batch& batch);
--- a/tests/cloud_client_test.cpp
+++ b/tests/cloud_client_test.cpp
@@ -21,9 +21,10 @@
         core::Config config;
         config.zones = {"a"};
         config.teams = {{"red", {}, {}}};
-        leader_state.install(std::make_unique<core::Controller>(config, 1), 1);
+        auto access = leader_state.lock();
+        access.install(std::make_unique<core::Controller>(config, 1), 1);
         // Recorded by a former controller and silent for longer than a lease: it is to be returned.
-        leader_state.controller->load_machine(
+        access.controller()->load_machine(
             {"m1", "127.0.0.1:1", "m4", "a", false, core::MachineStage::running, core::Seconds{0}},
             1, Clock::now() - 60s);
     }
@@ -48,9 +49,9 @@
     const auto until = Clock::now() + 3s;
     while (Clock::now() < until) {
         {
-            const std::lock_guard lock(d.leader_state.mutex);
-            d.leader_state.controller->cycle(Clock::now());
-            ASSERT_TRUE(d.leader_state.controller->machines().contains("m1"));
+            auto access = d.leader_state.lock();
+            access.controller()->cycle(Clock::now());
+            ASSERT_TRUE(access.controller()->machines().contains("m1"));
         }
         std::this_thread::sleep_for(50ms);
     }
@@ -59,9 +60,9 @@
     const auto latest = Clock::now() + 20s;
     while (!gone && Clock::now() < latest) {
         std::this_thread::sleep_for(50ms);
-        const std::lock_guard lock(d.leader_state.mutex);
-        d.leader_state.controller->cycle(Clock::now());
-        gone = !d.leader_state.controller->machines().contains("m1");
+        auto access = d.leader_state.lock();
+        access.controller()->cycle(Clock::now());
+        gone = !access.controller()->machines().contains("m1");
     }
     EXPECT_TRUE(gone);
 }
--- a/tests/leader_elector_test.cpp
+++ b/tests/leader_elector_test.cpp
@@ -7,6 +7,7 @@
 #include <unistd.h>
 
 #include "standin/services.hpp"
+#include "state/http_key_value_store.hpp"
 
 namespace bendspindle::leadership {
 namespace {
--- a/tests/leader_state_test.cpp
+++ b/tests/leader_state_test.cpp
@@ -36,23 +36,23 @@
 TEST(LeaderState, ACatalogThatCameWhileLoadingIsKnown) {
     LeaderState leader_state;
     auto controller = loaded();
-    leader_state.learn_types({some_type()});
-    const std::lock_guard lock(leader_state.mutex);
-    leader_state.install(std::move(controller), 7);
-    EXPECT_EQ(leader_state.controller->check(some_job()), core::Verdict::fits);
-    EXPECT_EQ(leader_state.leader_key_revision, 7U);
+    leader_state.set_machine_types({some_type()});
+    auto access = leader_state.lock();
+    access.install(std::move(controller), 7);
+    EXPECT_EQ(access.controller()->check(some_job()), core::Verdict::fits);
+    EXPECT_EQ(access.leader_key_revision(), 7U);
 }
 
 TEST(LeaderState, ACatalogThatComesLaterIsKnown) {
     LeaderState leader_state;
     {
-        const std::lock_guard lock(leader_state.mutex);
-        leader_state.install(loaded(), 7);
-        EXPECT_EQ(leader_state.controller->check(some_job()), core::Verdict::not_ready);
+        auto access = leader_state.lock();
+        access.install(loaded(), 7);
+        EXPECT_EQ(access.controller()->check(some_job()), core::Verdict::not_ready);
     }
-    leader_state.learn_types({some_type()});
-    const std::lock_guard lock(leader_state.mutex);
-    EXPECT_EQ(leader_state.controller->check(some_job()), core::Verdict::fits);
+    leader_state.set_machine_types({some_type()});
+    auto access = leader_state.lock();
+    EXPECT_EQ(access.controller()->check(some_job()), core::Verdict::fits);
 }
 
 // Guard against an answer that goes back: a former life may still say "running" of what was told as
--- a/tests/served_test.py
+++ b/tests/served_test.py
@@ -60,8 +60,8 @@
 
     def test_a_log_tells_who_started_in_time_in_the_loaded_part(self):
         def line(at, job, team, wait):
-            return (f"  {at} node-0 10:00:00.0 debug started {job} of slot for {team}, 2 tasks, "
-                    f"after {wait} s: record 0.1\n")
+            return (f"  {at} node-0 10:00:00.0 debug job_started job={job} class=slot team={team} "
+                    f"tasks=2 total_s={wait} record_s=0.1\n")
         log = (line(50, "job-1", "desk", 10) + line(300, "job-2", "desk", 199) +
                line(310, "job-2", "desk", 5) + line(155, "job-3", "office", 20) + "something else\n")
         code, text = self.served(json.dumps(report(7)), log=log)
--- a/tests/standin/leader_change_simulation.cpp
+++ b/tests/standin/leader_change_simulation.cpp
@@ -78,7 +78,7 @@
           replication(name, world.setting_.workers, elector, peers, clock_),
           desk(world.setting_.workers, leader_state, elector, peers, replication, clock_),
           terminal_states(4096) {
-        leader_state.known_types = world.types_;
+        leader_state.set_machine_types(world.types_);
     }
 
     void begin() {
@@ -127,14 +127,14 @@
                 leadership::forward_to_leader(wire::peer::Op::cancel, job, {}, elector, peers);
             return response ? response->status : 503;
         }
-        if (!elector.lease_valid() || !leader_state.controller) return 503;
-        if (!leader_state.controller->knows(job)) return from_record(job);
-        const auto term = leader_state.controller->term();
+        if (!elector.lease_valid() || !controller()) return 503;
+        if (!controller()->knows(job)) return from_record(job);
+        const auto term = controller()->term();
         if (!replication.replicate_cancellation(job, term)) return 503;
-        if (!leader_state.controller || leader_state.controller->term() != term) return 503;
-        if (leader_state.controller->in_doubt(job) && !replication.known_to_enough()) return 503;
-        leader_state.controller->cancel(job, timeline_.now());
-        leader_state.want_write();
+        if (!controller() || controller()->term() != term) return 503;
+        if (controller()->in_doubt(job) && !replication.known_to_enough()) return 503;
+        controller()->cancel(job, timeline_.now());
+        leader_state.lock().request_write();
         const auto until = core::later(timeline_.now(), record_limit);
         while (!terminal_states.get(job) && timeline_.now() < until) timeline_.wait(Seconds{0.02});
         return terminal_states.get(job) == core::TerminalState::cancelled ? 200 : 503;
@@ -169,9 +169,8 @@
 
     wire::Response word(const std::string& peer) {
         if (!elector.status().leading) return replication.follower_snapshot();
-        if (!leader_state.controller) return {503, 0, {}};
-        return replication.leader_snapshot(peer,
-                                           leadership::cancelled_jobs(*leader_state.controller));
+        if (!controller()) return {503, 0, {}};
+        return replication.leader_snapshot(peer, leadership::cancelled_jobs(*controller()));
     }
 
     // `LeaderElector::run` and `watch`.
@@ -213,11 +212,14 @@
         }
         if (!acts_under(term)) return;
         controller->hold_terminal_states_until(elector.terminal_states_allowed_from());
-        leader_state.failover_progress = log;
-        leader_state.install(std::move(controller), mod_revision);
+        leader_state.lock().failover_progress() = log;
+        leader_state.lock().install(std::move(controller), mod_revision);
         world_.say(name + " has loaded epoch " + std::to_string(term));
     }
 
+    // Flows take turns on the timeline, so what this points to stays while one of them runs.
+    core::Controller* controller() { return leader_state.lock().controller(); }
+
     bool acts_under(std::uint64_t term) const {
         const auto status = elector.status();
         return status.leading && status.term == term;
@@ -239,24 +241,24 @@
     }
 
     void on_deposed() {
-        if (leader_state.controller)
-            replication.on_deposed(leadership::cancelled_jobs(*leader_state.controller));
-        leader_state.controller.reset();
+        if (controller()) replication.on_deposed(leadership::cancelled_jobs(*controller()));
+        leader_state.lock().remove_controller();
         world_.say(name + " stands down");
     }
 
     // `StateWriter`, one batch after the other.
     void record() {
         for (;;) {
-            timeline_.wait(Seconds{leader_state.write_pending ? 0.03 : 0.1});
-            leader_state.write_pending = false;
-            if (!leader_state.controller) continue;
-            const auto term = leader_state.controller->term();
-            const auto changes = leader_state.controller->changes(12, timeline_.now());
+            const bool requested = leader_state.lock().write_requested();
+            timeline_.wait(Seconds{requested ? 0.03 : 0.1});
+            leader_state.lock().take_write_request();
+            if (!controller()) continue;
+            const auto term = controller()->term();
+            const auto changes = controller()->changes(12, timeline_.now());
             if (changes.empty()) continue;
-            const auto terminal_states_sent = leader_state.controller->sent(changes);
+            const auto terminal_states_sent = controller()->sent(changes);
             std::vector<wire::Condition> conditions{
-                {state::keys::leader, leader_state.leader_key_revision}};
+                {state::keys::leader, leader_state.lock().leader_key_revision()}};
             std::vector<wire::Operation> operations;
             for (const auto& change : changes) add(change, conditions, operations);
             const auto cas_result = store.compare_and_swap(conditions, operations);
@@ -266,15 +268,13 @@
                 read_back(changes, term, cas_result.failed);
             } else {
                 if (cas_result.outcome != StoreStatus::unknown && same(term))
-                    leader_state.controller->not_executed(terminal_states_sent);
+                    controller()->not_executed(terminal_states_sent);
                 timeline_.wait(Seconds{0.15 + 0.3 * world_.below_one()});
             }
         }
     }
 
-    bool same(std::uint64_t term) const {
-        return leader_state.controller && leader_state.controller->term() == term;
-    }
+    bool same(std::uint64_t term) { return controller() && controller()->term() == term; }
 
     static void add(const core::RecordWrite& change, std::vector<wire::Condition>& conditions,
                     std::vector<wire::Operation>& operations) {
@@ -306,8 +306,8 @@
         for (const auto& change : changes)
             if (change.type == core::RecordWrite::Type::finish_job)
                 terminal_states.put(change.id, change.job.terminal_state);
-        if (same(term)) leader_state.controller->written(changes, revision, timeline_.now());
-        leader_state.want_place();
+        if (same(term)) controller()->written(changes, revision, timeline_.now());
+        leader_state.lock().request_placement();
     }
 
     void read_back(const std::vector<core::RecordWrite>& changes, std::uint64_t term,
@@ -335,10 +335,9 @@
             if (terminal_state) terminal_states.put(change.id, *terminal_state);
             if (!same(term)) return;
             if (terminal_state)
-                leader_state.controller->finished_by_record(change.id, *terminal_state,
-                                                            timeline_.now());
+                controller()->finished_by_record(change.id, *terminal_state, timeline_.now());
             else
-                leader_state.controller->set_mod_revision(
+                controller()->set_mod_revision(
                     change.type, change.id,
                     record.outcome == StoreStatus::ok ? record.entry.mod_revision : 0);
         }
@@ -349,18 +348,17 @@
         double next = 0;
         for (;;) {
             timeline_.wait(Seconds{0.25});
-            if (!leader_state.place_pending && timeline_.seconds() < next) continue;
+            if (!leader_state.lock().placement_requested() && timeline_.seconds() < next) continue;
             next = timeline_.seconds() + world_.config_.cycle.count();
-            leader_state.place_pending = false;
-            if (!leader_state.controller) continue;
-            leader_state.controller->hold_terminal_states_until(
-                elector.terminal_states_allowed_from());
-            leader_state.controller->cycle(timeline_.now());
+            leader_state.lock().take_placement_request();
+            if (!controller()) continue;
+            controller()->hold_terminal_states_until(elector.terminal_states_allowed_from());
+            controller()->cycle(timeline_.now());
             const auto calls =
-                leader_state.controller->direct_commands(timeline_.now(), replication.may_renew());
-            leader_state.failover_progress->look(*leader_state.controller, timeline_.now());
-            if (leader_state.failover_progress->progressed(timeline_.now()))
-                elector.made_progress();
+                controller()->direct_commands(timeline_.now(), replication.may_renew());
+            auto& progress = *leader_state.lock().failover_progress();
+            progress.look(*controller(), timeline_.now());
+            if (progress.progressed(timeline_.now())) elector.made_progress();
             for (const auto& call : calls) world_.deliver_call(shared_from_this(), call);
         }
     }
@@ -369,9 +367,9 @@
     void return_machines() {
         for (;;) {
             timeline_.wait(Seconds{1});
-            if (!leader_state.controller) continue;
-            const auto term = leader_state.controller->term();
-            const auto plan = leader_state.controller->plan_scaling(timeline_.now());
+            if (!controller()) continue;
+            const auto term = controller()->term();
+            const auto plan = controller()->plan_scaling(timeline_.now());
             const auto names = elector.lease_valid() ? plan.release : plan.overdue;
             if (names.empty()) continue;
             timeline_.wait(Seconds{0.1});
@@ -384,9 +382,9 @@
             }
             timeline_.wait(Seconds{0.1});
             if (!same(term)) continue;
-            leader_state.controller->released(names);
-            leader_state.want_write();
-            leader_state.want_place();
+            controller()->released(names);
+            leader_state.lock().request_write();
+            leader_state.lock().request_placement();
         }
     }
 
@@ -821,11 +819,11 @@
                                   const std::optional<core::Heartbeat>& heartbeat) {
         timeline_.in(from->life, latency(), [=, this] {
             if (std::exchange(*settled, true)) return;
-            auto& controller = from->leader_state.controller;
+            auto* const controller = from->leader_state.lock().controller();
             if (!controller || controller->term() != call.fencing_token) return;
             controller->called(call, outcome, heartbeat ? &*heartbeat : nullptr, timeline_.now());
-            from->leader_state.want_write();
-            from->leader_state.want_place();
+            from->leader_state.lock().request_write();
+            from->leader_state.lock().request_placement();
         });
     };
     const auto arrive = [=, this](const auto& again) -> void {
--- a/tests/state_writer_test.cpp
+++ b/tests/state_writer_test.cpp
@@ -7,6 +7,7 @@
 #include <thread>
 
 #include "standin/services.hpp"
+#include "state/http_key_value_store.hpp"
 #include "state/job_admission.hpp"
 #include "wire/records.hpp"
 
@@ -56,24 +57,23 @@
     const auto leader =
         w.store.compare_and_swap({}, {{keys::leader, wire::Value{{"name", "a"}}, lease}});
     {
-        const std::lock_guard lock(w.leader_state.mutex);
+        auto access = w.leader_state.lock();
         core::Config config;
         config.zones = {"a"};
         config.teams = {{"red", {}, {}}};
-        w.leader_state.install(std::make_unique<core::Controller>(config, 1), leader.revision);
+        access.install(std::make_unique<core::Controller>(config, 1), leader.revision);
         for (const auto* id : {"job-1", "job-2", "job-3", "job-4"})
-            w.leader_state.controller->accept(job(id), core::WallTime{}, Clock::now());
-        w.leader_state.want_write();
+            access.controller()->accept(job(id), core::WallTime{}, Clock::now());
+        access.request_write();
     }
-    std::unique_lock lock(w.leader_state.mutex);
-    const bool written = w.leader_state.recorded.wait_for(lock, 10s, [&] {
-        return w.leader_state.controller->durable("job-1") &&
-               w.leader_state.controller->durable("job-3") &&
-               w.leader_state.controller->durable("job-4");
+    auto access = w.leader_state.lock();
+    const bool written = access.wait_for_commit(10s, [&] {
+        return access.controller()->durable("job-1") && access.controller()->durable("job-3") &&
+               access.controller()->durable("job-4");
     });
     EXPECT_TRUE(written);
-    EXPECT_FALSE(w.leader_state.controller->durable("job-2"));
-    w.leader_state.controller.reset();
+    EXPECT_FALSE(access.controller()->durable("job-2"));
+    access.remove_controller();
 }
 
 // Guard against went_back: the final state was recorded late, behind a write that got no answer;
@@ -85,28 +85,27 @@
     ASSERT_TRUE(lease);
     const auto leader =
         w.store.compare_and_swap({}, {{keys::leader, wire::Value{{"name", "a"}}, lease}});
-    std::unique_lock lock(w.leader_state.mutex);
+    auto access = w.leader_state.lock();
     core::Config config;
     config.zones = {"a"};
     config.teams = {{"red", {}, {}}};
-    w.leader_state.install(std::make_unique<core::Controller>(config, 2), leader.revision);
-    w.leader_state.controller->accept(job("job-8"), core::WallTime{}, Clock::now());
-    w.leader_state.want_write();
-    ASSERT_TRUE(w.leader_state.recorded.wait_for(
-        lock, 10s, [&] { return w.leader_state.controller->durable("job-8"); }));
+    access.install(std::make_unique<core::Controller>(config, 2), leader.revision);
+    access.controller()->accept(job("job-8"), core::WallTime{}, Clock::now());
+    access.request_write();
+    ASSERT_TRUE(access.wait_for_commit(10s, [&] { return access.controller()->durable("job-8"); }));
 
     // The first is carried out while the second, its repeat, is waited for.
     w.service.hold({2200ms, 4000ms});
-    w.leader_state.controller->cancel("job-8", Clock::now());
-    w.leader_state.want_write();
+    access.controller()->cancel("job-8", Clock::now());
+    access.request_write();
     int read_as_over = 0;
     core::TerminalState told = core::TerminalState::none;
     for (const auto until = Clock::now() + 15s; Clock::now() < until;) {
-        lock.unlock();
+        access.unlock();
         const bool over = w.store.get(keys::over("job-8")).outcome == StoreStatus::ok;
         std::this_thread::sleep_for(20ms);
-        lock.lock();
-        const auto status = w.leader_state.controller->status("job-8");
+        access.relock();
+        const auto status = access.controller()->status("job-8");
         told = w.terminal_states.get("job-8").value_or(core::TerminalState::none);
         if (told == core::TerminalState::cancelled) break;
         if (!over) continue;
@@ -115,7 +114,7 @@
     }
     EXPECT_GT(read_as_over, 0) << "the meeting did not come about";
     EXPECT_EQ(told, core::TerminalState::cancelled);
-    w.leader_state.controller.reset();
+    access.remove_controller();
 }
 
 // Type was refused was not carried out: the state before holds and is told.
@@ -155,7 +154,7 @@
     record.home = "a";
     const auto put = w.store.compare_and_swap(
         {}, {{keys::job("job-10"), wire::job_record(record), std::nullopt}});
-    std::unique_lock lock(w.leader_state.mutex);
+    auto access = w.leader_state.lock();
     core::Config config;
     config.zones = {"a"};
     config.teams = {{"red", {}, {}}};
@@ -177,20 +176,20 @@
         {"job-10", 0, 7, core::TaskState::running, core::ExitCause::none, false});
     controller->heartbeat(heartbeat, Clock::now());
     ASSERT_EQ(controller->status("job-10")->running, 1U);
-    w.leader_state.install(std::move(controller), leader.revision);
+    access.install(std::move(controller), leader.revision);
     const wire::Value over{{"final", "done"}};
     w.store.compare_and_swap(
         {}, {{keys::job("job-10"), std::nullopt, {}}, {keys::over("job-10"), over, {}}});
-    w.leader_state.controller->cancel("job-10", Clock::now());
-    w.leader_state.want_write();
-    ASSERT_TRUE(w.leader_state.recorded.wait_for(
-        lock, 10s, [&] { return w.terminal_states.get("job-10").has_value(); }));
+    access.controller()->cancel("job-10", Clock::now());
+    access.request_write();
+    ASSERT_TRUE(
+        access.wait_for_commit(10s, [&] { return w.terminal_states.get("job-10").has_value(); }));
     EXPECT_EQ(w.terminal_states.get("job-10"), core::TerminalState::done);
     // Its task is still there, and so is the job.
-    const auto status = w.leader_state.controller->status("job-10");
+    const auto status = access.controller()->status("job-10");
     ASSERT_TRUE(status);
     EXPECT_EQ(status->terminal_state, core::TerminalState::done);
-    w.leader_state.controller.reset();
+    access.remove_controller();
 }
 
 // Guard: of an id sent with two bodies, to two controllers, the one that was accepted first is the
@@ -204,21 +203,21 @@
     core::JobRecord first;
     first.spec = job("job-11");
     ASSERT_EQ(w.acceptor.accept(first).outcome, JobAdmission::Result::accepted);
-    std::unique_lock lock(w.leader_state.mutex);
+    auto access = w.leader_state.lock();
     core::Config config;
     config.zones = {"a"};
     config.teams = {{"red", {}, {}}};
-    w.leader_state.install(std::make_unique<core::Controller>(config, 5), leader.revision);
+    access.install(std::make_unique<core::Controller>(config, 5), leader.revision);
     auto second = job("job-11");
     second.tasks = 9;
-    w.leader_state.controller->accept(second, core::WallTime{}, Clock::now());
-    w.leader_state.want_write();
-    ASSERT_TRUE(w.leader_state.recorded.wait_for(
-        lock, 10s, [&] { return w.leader_state.controller->durable("job-11"); }));
-    EXPECT_TRUE(w.leader_state.controller->found("job-11"));
-    ASSERT_EQ(w.leader_state.controller->jobs().size(), 1U);
-    EXPECT_EQ(w.leader_state.controller->jobs().begin()->second->spec.tasks, first.spec.tasks);
-    w.leader_state.controller.reset();
+    access.controller()->accept(second, core::WallTime{}, Clock::now());
+    access.request_write();
+    ASSERT_TRUE(
+        access.wait_for_commit(10s, [&] { return access.controller()->durable("job-11"); }));
+    EXPECT_TRUE(access.controller()->found("job-11"));
+    ASSERT_EQ(access.controller()->jobs().size(), 1U);
+    EXPECT_EQ(access.controller()->jobs().begin()->second->spec.tasks, first.spec.tasks);
+    access.remove_controller();
 }
 
 TEST(JobAdmission, AcceptsTheOthersWhenOneIsCalledMalformed) {
--- a/tools/reports.py
+++ b/tools/reports.py
@@ -56,8 +56,8 @@
     return out
 
 
-STARTED = re.compile(r"^\s*(?P<at>[0-9.]+) \S+ \S+ debug started (?P<job>\S+) of (?P<class>\S+) for "
-                     r"(?P<team>\S+), \d+ tasks, after (?P<wait>[0-9.]+) s")
+STARTED = re.compile(r"^\s*(?P<at>[0-9.]+) \S+ \S+ debug job_started job=(?P<job>\S+) "
+                     r"class=(?P<class>\S+) team=(?P<team>\S+) tasks=\d+ total_s=(?P<wait>[0-9.]+)")
 
 
 def longest_wait(report, name):
