--- a/src/api/health.hpp
+++ b/src/api/health.hpp
@@ -12,6 +12,7 @@
 
 namespace bendspindle::api {
 
+/// The health rule, and what it judges by.
 class Health {
   public:
     /// All of these outlive it.
@@ -20,6 +21,7 @@
 
     /// The leader has announced itself.
     void leader_announced() { leader_announced_at_ = Clock::now(); }
+    /// Whether the load balancer may send users here.
     [[nodiscard]] bool healthy() const;
 
   private:
--- a/src/api/job_cancellation.hpp
+++ b/src/api/job_cancellation.hpp
@@ -20,6 +20,7 @@
 
 namespace bendspindle::api {
 
+/// Cancels as leader, forwards as follower.
 class JobCancellationHandler {
   public:
     /// All of these outlive it.
--- a/src/api/job_records.hpp
+++ b/src/api/job_records.hpp
@@ -30,6 +30,7 @@
 [[nodiscard]] bool may_be_outdated(const wire::Response& response,
                                    std::chrono::steady_clock::time_point asked);
 
+/// Reads the records of one job at a time.
 class JobRecords {
   public:
     /// `polls`: the reads of the store that polls may cause.
--- a/src/api/job_status.hpp
+++ b/src/api/job_status.hpp
@@ -17,6 +17,7 @@
 
 namespace bendspindle::api {
 
+/// Answers as leader, forwards as follower.
 class JobStatusHandler {
   public:
     /// All of these outlive it.
--- a/src/api/job_submission.cpp
+++ b/src/api/job_submission.cpp
@@ -86,10 +86,10 @@
     core::JobRecord record;
     record.spec = spec;
     record.submitted = std::chrono::system_clock::now();
-    const auto answer = admission_.accept(std::move(record));
+    const auto answer = admission_.admit(std::move(record));
     if (answer.outcome == state::JobAdmission::Result::failed)
         return wire::unavailable("the job could not be recorded in time");
-    const bool is_new = answer.outcome == state::JobAdmission::Result::accepted;
+    const bool is_new = answer.outcome == state::JobAdmission::Result::admitted;
     if (is_new && Clock::now() - answer.sent <= created_is_fresh_for)
         return {201, 0, wire::status_body(spec.id, core::JobStatus{}, false)};
     // Guard against went_back: with the transaction's answer held up for a second the 201 "queued"
--- a/src/api/job_submission.hpp
+++ b/src/api/job_submission.hpp
@@ -16,6 +16,7 @@
 
 namespace bendspindle::api {
 
+/// Admits as leader or as follower.
 class JobSubmissionHandler {
   public:
     /// All of these outlive it.
--- a/src/api/peer_requests.hpp
+++ b/src/api/peer_requests.hpp
@@ -25,6 +25,7 @@
     Health& health;
 };
 
+/// Dispatches by operation; each answer bears the term known here.
 class PeerRequests {
   public:
     /// All of these outlive it.
@@ -32,6 +33,7 @@
                  leadership::Peers& peers, leadership::CancellationReplication& replication,
                  state::LeaderState& leader_state);
 
+    /// Blocks as long as the handler of the operation does.
     [[nodiscard]] wire::peer::Answer handle(const wire::peer::Request& request);
 
   private:
--- a/src/api/token_bucket.hpp
+++ b/src/api/token_bucket.hpp
@@ -9,6 +9,7 @@
 
 namespace bendspindle::api {
 
+/// One rate limit.
 class TokenBucket {
   public:
     /// Full at first: what `burst` allows at `per_second`.
--- a/src/daemon/announcements.hpp
+++ b/src/daemon/announcements.hpp
@@ -10,6 +10,7 @@
 
 namespace bendspindle::daemon {
 
+/// The rounds of one controller with its peers.
 class Announcements {
   public:
     /// All of these outlive it.
--- a/src/daemon/failover.hpp
+++ b/src/daemon/failover.hpp
@@ -18,6 +18,7 @@
 
 namespace bendspindle::daemon {
 
+/// Turns the elector's events into a loaded core, and back into none.
 class Failover {
   public:
     /// All of these outlive it.
@@ -26,7 +27,9 @@
              leadership::LeaderElector& elector, leadership::CancellationReplication& replication,
              agents::HeartbeatHandler& heartbeats);
 
+    /// Begins to load the records for this term; returns at once.
     void on_elected(std::uint64_t term, std::uint64_t leader_key_revision);
+    /// Hands what was cancelled over to the replication and drops the core.
     void on_deposed();
 
   private:
--- a/src/daemon/placement_loop.cpp
+++ b/src/daemon/placement_loop.cpp
@@ -69,11 +69,11 @@
     controller->cycle(Clock::now());
     // Guard against ran_cancelled: a former leader went on starting by direct command, in the agent
     // epoch that followed the lease it no longer renewed, what another had cancelled
-    // (DirectCommands.OneThatMayNotRenewStartsNothing).
+    // (DirectCommands.ALeaderThatMayNotRenewStartsNothing).
     auto commands = controller->direct_commands(Clock::now(), replication_.may_renew());
     log_started_jobs(*controller);
     if (auto& progress = access.failover_progress()) {
-        progress->look(*controller, Clock::now());
+        progress->observe(*controller, Clock::now());
         if (progress->progressed(Clock::now())) elector_.made_progress();
     }
     return commands;
--- a/src/daemon/placement_loop.hpp
+++ b/src/daemon/placement_loop.hpp
@@ -13,6 +13,7 @@
 
 namespace bendspindle::daemon {
 
+/// Runs cycles while this controller is the leader, and waits otherwise.
 class PlacementLoop {
   public:
     /// All of these outlive it. `interval`: between cycles that nothing has asked for.
--- a/src/daemon/service.hpp
+++ b/src/daemon/service.hpp
@@ -31,6 +31,7 @@
 
 namespace bendspindle::daemon {
 
+/// Lives as long as the process.
 class Service {
   public:
     Service(config::Settings settings, config::OperatorSettings own);
--- a/src/state/failover_progress.cpp
+++ b/src/state/failover_progress.cpp
@@ -1,45 +1,54 @@
 #include "state/failover_progress.hpp"
 
-#include <spdlog/spdlog.h>
+#include <string>
+
+#include "io/log.hpp"
 
 namespace bendspindle::state {
 
 namespace {
 
-// A process that ends sooner is taken to end of what it does in this role.
+// A process that ends sooner is taken to end of what it does as leader.
 constexpr std::chrono::seconds long_enough{8};
 
+std::string two_decimals(double value) {
+    return fmt::format("{:.2f}", value);
+}
+
 }  // namespace
 
 void FailoverProgress::loaded(const core::Controller& controller, Clock::time_point now) {
-    recorded_ = controller.unconfirmed();
-    half_told_ = all_told_ = some_answered_ = recorded_ == 0;
-    spdlog::info("took over {} open jobs and {} machines after {:.2f} s", controller.jobs().size(),
-                 recorded_, since(now));
+    recorded_machines_ = controller.unconfirmed();
+    half_logged_ = all_logged_ = any_fenced_ = recorded_machines_ == 0;
+    io::log::info("records_loaded", "open_jobs", controller.jobs().size(), "machines",
+                  recorded_machines_, "after_s", two_decimals(seconds_since_election(now)));
+}
+
+void FailoverProgress::observe(const core::Controller& controller, Clock::time_point now) {
+    if (!all_logged_) observe_machines(controller, now);
+    if (!first_start_logged_ && controller.counts().starts > 0) {
+        first_start_logged_ = true;
+        io::log::info("first_start_ordered", "after_s", two_decimals(seconds_since_election(now)));
+    }
 }
 
-void FailoverProgress::look(const core::Controller& controller, Clock::time_point now) {
-    if (!all_told_) {
-        const auto left = controller.unconfirmed();
-        some_answered_ |= left < recorded_;
-        if (!half_told_ && left * 2 <= recorded_) {
-            half_told_ = true;
-            spdlog::info("half of {} machines confirmed after {:.2f} s", recorded_, since(now));
-        }
-        if (left == 0) {
-            all_told_ = true;
-            spdlog::info("all of {} machines confirmed or gone after {:.2f} s", recorded_,
-                         since(now));
-        }
+void FailoverProgress::observe_machines(const core::Controller& controller, Clock::time_point now) {
+    const auto unfenced = controller.unconfirmed();
+    any_fenced_ |= unfenced < recorded_machines_;
+    if (!half_logged_ && unfenced * 2 <= recorded_machines_) {
+        half_logged_ = true;
+        io::log::info("half_of_machines_fenced", "machines", recorded_machines_, "after_s",
+                      two_decimals(seconds_since_election(now)));
     }
-    if (!start_told_ && controller.counts().starts > 0) {
-        start_told_ = true;
-        spdlog::info("first start ordered after {:.2f} s", since(now));
+    if (unfenced == 0) {
+        all_logged_ = true;
+        io::log::info("all_machines_fenced_or_gone", "machines", recorded_machines_, "after_s",
+                      two_decimals(seconds_since_election(now)));
     }
 }
 
 bool FailoverProgress::progressed(Clock::time_point now) const {
-    return some_answered_ && now - leading_since_ >= long_enough;
+    return any_fenced_ && now - elected_at_ >= long_enough;
 }
 
 }  // namespace bendspindle::state
--- a/src/state/failover_progress.hpp
+++ b/src/state/failover_progress.hpp
@@ -1,5 +1,8 @@
-// Tells how a takeover goes, in log lines that operators and measurements read: how long after
-// acting the records were loaded, half and all recorded machines confirmed, the first task ordered.
+/// How a failover goes, in log lines that operators and measurements read: how long after the
+/// election the records were loaded, half and all recorded machines were fenced (have shown the
+/// term's fencing token) or are gone, and the first task start was ordered.
+///
+/// Pure but for the log: the time is passed in. Owned by `LeaderState`, used under its lock.
 #pragma once
 
 #include <chrono>
@@ -8,29 +11,32 @@
 
 namespace bendspindle::state {
 
+/// Of one term.
 class FailoverProgress {
   public:
     using Clock = std::chrono::steady_clock;
-    explicit FailoverProgress(Clock::time_point leading_since) : leading_since_(leading_since) {}
+    explicit FailoverProgress(Clock::time_point elected_at) : elected_at_(elected_at) {}
 
+    /// The records are loaded into `controller`, which begins to lead.
     void loaded(const core::Controller& controller, Clock::time_point now);
-    // Looks at what has happened since; cheap once everything was told.
-    void look(const core::Controller& controller, Clock::time_point now);
-    // Whether the controller has got somewhere: a recorded machine answered it, or there was none,
-    // and it has acted for a while since.
-    bool progressed(Clock::time_point now) const;
+    /// Logs what has happened since the last call; cheap once everything was logged.
+    void observe(const core::Controller& controller, Clock::time_point now);
+    /// Whether this term has got somewhere: a recorded machine was fenced, or there was none, and
+    /// the controller has led for a while since.
+    [[nodiscard]] bool progressed(Clock::time_point now) const;
 
   private:
-    double since(Clock::time_point now) const {
-        return std::chrono::duration<double>(now - leading_since_).count();
+    void observe_machines(const core::Controller& controller, Clock::time_point now);
+    [[nodiscard]] double seconds_since_election(Clock::time_point now) const {
+        return std::chrono::duration<double>(now - elected_at_).count();
     }
 
-    Clock::time_point leading_since_;
-    std::size_t recorded_ = 0;
-    bool some_answered_ = false;
-    bool half_told_ = false;
-    bool all_told_ = false;
-    bool start_told_ = false;
+    Clock::time_point elected_at_;
+    std::size_t recorded_machines_ = 0;
+    bool any_fenced_ = false;
+    bool half_logged_ = false;
+    bool all_logged_ = false;
+    bool first_start_logged_ = false;
 };
 
 }  // namespace bendspindle::state
--- a/src/state/http_key_value_store.hpp
+++ b/src/state/http_key_value_store.hpp
@@ -13,6 +13,7 @@
 
 namespace bendspindle::state {
 
+/// Calls one endpoint of the store; knows when it last succeeded.
 class HttpKeyValueStore : public KeyValueStore {
   public:
     explicit HttpKeyValueStore(io::Endpoint endpoint);
--- a/src/state/job_admission.cpp
+++ b/src/state/job_admission.cpp
@@ -3,8 +3,9 @@
 #include <algorithm>
 #include <random>
 #include <thread>
+#include <utility>
 
-#include "state/state_writer.hpp"
+#include "state/keys.hpp"
 #include "wire/records.hpp"
 
 namespace bendspindle::state {
@@ -13,36 +14,65 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds gather_time{10};
-constexpr milliseconds accept_limit{2500};  // users give up after 5 s
+constexpr milliseconds batching_time{10};
+constexpr milliseconds admission_limit{2500};  // users give up after 5 s
 constexpr milliseconds pause_after_refusal{100};
 constexpr std::size_t most_bytes = 48 * 1024;
 constexpr std::size_t assumed_record_bytes = 2048;
-// What one controller may take of the change budget that all of them share.
+// What one controller may take of the budget of changes that all of them share.
 constexpr double budget_share = 0.4;
 
+// With jitter, so that several controllers do not call together.
+milliseconds pause_with_jitter() {
+    static thread_local std::mt19937 random(std::random_device{}());
+    std::uniform_int_distribution<int> jitter(0, static_cast<int>(pause_after_refusal.count()));
+    return pause_after_refusal + milliseconds(jitter(random));
+}
+
+bool failed(const CasResult& result, const std::string& key) {
+    return std::find(result.failed.begin(), result.failed.end(), key) != result.failed.end();
+}
+
 }  // namespace
 
 JobAdmission::JobAdmission(KeyValueStore& store, config::StateLimits limits)
     : store_(store), limits_(limits) {}
 
-JobAdmission::Answer JobAdmission::accept(core::JobRecord record) {
+JobAdmission::Answer JobAdmission::admit(core::JobRecord record) {
     auto entry = std::make_shared<Entry>();
     entry->record = std::move(record);
-    entry->until = Clock::now() + accept_limit;
+    entry->until = Clock::now() + admission_limit;
     std::unique_lock lock(mutex_);
     waiting_.push_back(entry);
-    wanted_.notify_one();
-    settled_.wait_until(lock, entry->until, [&] { return entry->outcome.has_value(); });
+    entry_added_.notify_one();
+    entry_resolved_.wait_until(lock, entry->until, [&] { return entry->outcome.has_value(); });
     return {entry->outcome.value_or(Result::failed), entry->sent};
 }
 
-JobAdmission::Batch JobAdmission::gather() {
-    // Guard: one record that the state service calls malformed took all that were written with it
-    // along, until their users gave up. They are told apart one by one.
-    const auto most =
-        alone_ > 0 ? std::size_t{1} : std::min(limits_.txn_ops, most_bytes / assumed_record_bytes);
-    if (alone_ > 0) --alone_;
+void JobAdmission::run() {
+    for (;;) {
+        wait_for_entries();
+        const auto batch = collect_batch();
+        if (!batch.empty()) write_batch(batch);
+    }
+}
+
+void JobAdmission::wait_for_entries() {
+    {
+        std::unique_lock lock(mutex_);
+        entry_added_.wait(lock, [&] { return !waiting_.empty(); });
+    }
+    std::this_thread::sleep_for(batching_time);
+}
+
+JobAdmission::Batch JobAdmission::collect_batch() {
+    // Guard: one record that the store calls malformed took all that were written with it along,
+    // until their users gave up. They are written one by one
+    // (JobAdmission.AdmitsTheOthersWhenOneIsCalledMalformed).
+    const auto most = write_one_by_one_ > 0
+                          ? std::size_t{1}
+                          : std::min(limits_.txn_ops, most_bytes / assumed_record_bytes);
+    if (write_one_by_one_ > 0) --write_one_by_one_;
     Batch batch;
     const std::lock_guard lock(mutex_);
     while (!waiting_.empty() && batch.size() < most) {
@@ -54,29 +84,16 @@
     return batch;
 }
 
-void JobAdmission::settle(const Batch& batch, const CasResult& cas_result, Clock::time_point sent) {
-    const std::lock_guard lock(mutex_);
-    for (const auto& entry : batch) {
-        entry->sent = sent;
-        const auto& id = entry->record.spec.id;
-        const auto failed = [&](const std::string& key) {
-            return std::find(cas_result.failed.begin(), cas_result.failed.end(), key) !=
-                   cas_result.failed.end();
-        };
-        if (cas_result.outcome == StoreStatus::ok)
-            entry->outcome = Result::accepted;
-        else if (cas_result.outcome == StoreStatus::conflict &&
-                 (failed(keys::job(id)) || failed(keys::over(id))))
-            entry->outcome = Result::known;
-        else if (cas_result.outcome == StoreStatus::invalid && batch.size() == 1)
-            entry->outcome = Result::failed;
-        else
-            waiting_.push_front(entry);
-    }
-    settled_.notify_all();
+void JobAdmission::write_batch(const Batch& batch) {
+    if (commit(batch) == StoreStatus::invalid && batch.size() > 1) write_one_by_one_ = batch.size();
+    const bool again = any_unresolved(batch);
+    const std::chrono::duration<double> cost{static_cast<double>(batch.size()) /
+                                             (limits_.writes_per_s * budget_share)};
+    std::this_thread::sleep_for(cost);
+    if (again) std::this_thread::sleep_for(pause_with_jitter());
 }
 
-StoreStatus JobAdmission::write(const Batch& batch) {
+StoreStatus JobAdmission::commit(const Batch& batch) {
     std::vector<wire::Condition> conditions;
     std::vector<wire::Operation> operations;
     for (const auto& entry : batch) {
@@ -86,34 +103,35 @@
         operations.push_back({keys::job(id), wire::job_record(entry->record), {}});
     }
     const auto sent = Clock::now();
-    const auto cas_result = store_.compare_and_swap(conditions, operations);
-    settle(batch, cas_result, sent);
-    return cas_result.outcome;
+    const auto result = store_.compare_and_swap(conditions, operations);
+    resolve_outcome(batch, result, sent);
+    return result.outcome;
 }
 
-void JobAdmission::run() {
-    std::mt19937 random(std::random_device{}());
-    std::uniform_int_distribution<int> jitter(0, static_cast<int>(pause_after_refusal.count()));
-    for (;;) {
-        {
-            std::unique_lock lock(mutex_);
-            wanted_.wait(lock, [&] { return !waiting_.empty(); });
-        }
-        std::this_thread::sleep_for(gather_time);
-        const auto batch = gather();
-        if (batch.empty()) continue;
-        if (write(batch) == StoreStatus::invalid && batch.size() > 1) alone_ = batch.size();
-        bool again = false;
-        {
-            const std::lock_guard lock(mutex_);
-            again = std::any_of(batch.begin(), batch.end(),
-                                [](const auto& entry) { return !entry->outcome; });
-        }
-        const std::chrono::duration<double> cost{static_cast<double>(batch.size()) /
-                                                 (limits_.writes_per_s * budget_share)};
-        std::this_thread::sleep_for(cost);
-        if (again) std::this_thread::sleep_for(pause_after_refusal + milliseconds(jitter(random)));
+// What is not resolved is written again.
+void JobAdmission::resolve_outcome(const Batch& batch, const CasResult& result,
+                                   Clock::time_point sent) {
+    const std::lock_guard lock(mutex_);
+    for (const auto& entry : batch) {
+        entry->sent = sent;
+        const auto& id = entry->record.spec.id;
+        const bool exists = failed(result, keys::job(id)) || failed(result, keys::over(id));
+        if (result.outcome == StoreStatus::ok)
+            entry->outcome = Result::admitted;
+        else if (result.outcome == StoreStatus::conflict && exists)
+            entry->outcome = Result::known;
+        else if (result.outcome == StoreStatus::invalid && batch.size() == 1)
+            entry->outcome = Result::failed;
+        else
+            waiting_.push_front(entry);
     }
+    entry_resolved_.notify_all();
+}
+
+bool JobAdmission::any_unresolved(const Batch& batch) {
+    const std::lock_guard lock(mutex_);
+    return std::any_of(batch.begin(), batch.end(),
+                       [](const auto& entry) { return !entry->outcome; });
 }
 
 }  // namespace bendspindle::state
--- a/src/state/job_admission.hpp
+++ b/src/state/job_admission.hpp
@@ -1,13 +1,19 @@
-// Accepts jobs on a controller that does not act: their first records are written here, and the
-// controller that acts learns of them from the state service. So a job can be taken while nobody
-// acts, and none is lost with the controller that took it.
+/// Admits jobs on a controller that is not the leader: their first records are written here, and
+/// the leader adopts them by its watch (`JobWatch`). So a job is taken while there is no leader,
+/// and none is lost with the controller that took it. Idempotent: a record that exists stays.
+///
+/// `admit` is called on the threads of users' requests; `run` has a thread of its own, which
+/// commits what several of them wait for in one transaction.
 #pragma once
 
 #include <chrono>
 #include <condition_variable>
+#include <cstdint>
 #include <deque>
 #include <memory>
 #include <mutex>
+#include <optional>
+#include <vector>
 
 #include "config/settings.hpp"
 #include "core/cluster/job.hpp"
@@ -15,25 +21,28 @@
 
 namespace bendspindle::state {
 
+/// Writes first records for as long as the process lives.
 class JobAdmission {
   public:
+    /// What became of a job's first record.
     enum class Result : std::uint8_t {
-        accepted,
-        known,   // a record exists: open or over
+        admitted,
+        known,   // a record exists: open or terminal
         failed,  // not recorded in time, as far as known
     };
 
+    /// What `admit` returns.
     struct Answer {
         Result outcome = Result::failed;
-        // When the transaction was sent: others may have told of the job since.
+        // When the transaction was sent: others may have answered for the job since.
         std::chrono::steady_clock::time_point sent{};
     };
 
     JobAdmission(KeyValueStore& store, config::StateLimits limits);
-    // Runs until the process ends.
+    /// Runs until the process ends.
     void run();
-    // Waits until the record is written, or no longer than a user may be kept waiting.
-    Answer accept(core::JobRecord record);
+    /// Waits until the record is written, or no longer than a user may be kept waiting.
+    [[nodiscard]] Answer admit(core::JobRecord record);
 
   private:
     using Clock = std::chrono::steady_clock;
@@ -45,17 +54,20 @@
     };
     using Batch = std::vector<std::shared_ptr<Entry>>;
 
-    Batch gather();
-    StoreStatus write(const Batch& batch);
-    void settle(const Batch& batch, const CasResult& cas_result, Clock::time_point sent);
+    void wait_for_entries();
+    Batch collect_batch();
+    void write_batch(const Batch& batch);
+    StoreStatus commit(const Batch& batch);
+    void resolve_outcome(const Batch& batch, const CasResult& result, Clock::time_point sent);
+    bool any_unresolved(const Batch& batch);
 
     KeyValueStore& store_;
-    config::StateLimits limits_;
-    std::mutex mutex_;
-    std::condition_variable wanted_;
-    std::condition_variable settled_;
+    const config::StateLimits limits_;
+    std::mutex mutex_;  // guards waiting_ and each entry's outcome; held across no call
+    std::condition_variable entry_added_;
+    std::condition_variable entry_resolved_;
     std::deque<std::shared_ptr<Entry>> waiting_;
-    std::size_t alone_ = 0;  // so many entries are written one by one
+    std::size_t write_one_by_one_ = 0;  // so many of the next entries; for `run` only
 };
 
 }  // namespace bendspindle::state
--- a/src/state/job_watch.cpp
+++ b/src/state/job_watch.cpp
@@ -59,7 +59,8 @@
         const auto record = wire::parse_job_record(entry.value);
         // Guard against doing finished work again, and answering its user so: the event of a record
         // that this controller has written, or whose job has ended, may arrive late
-        // (JobWatchCursor.OldNewsBeginNoJobHoweverLate, Forgetful.OldNewsBeginNoEndedJobAgain).
+        // (JobWatchCursor.ALateEventAdoptsNoEndedJob,
+        // ReadConsistencySmallCache.ALateWatchEventRestartsNoEndedJob).
         if (!record || !record->home.empty()) continue;
         if (!cursor.is_new(record->spec.id, entry.mod_revision)) continue;
         any_adopted |= controller->learn(*record, entry.mod_revision, Clock::now());
--- a/src/state/job_watch.hpp
+++ b/src/state/job_watch.hpp
@@ -14,6 +14,7 @@
 
 namespace bendspindle::state {
 
+/// Adopts jobs for as long as the process lives, while this controller is the leader.
 class JobWatch {
   public:
     /// `lease_valid`: whether no other controller can lead yet. Called with the leader mutex held.
--- a/src/state/job_watch_cursor.hpp
+++ b/src/state/job_watch_cursor.hpp
@@ -16,6 +16,7 @@
 
 namespace bendspindle::state {
 
+/// How far the watch of open jobs got, for one term.
 class JobWatchCursor {
   public:
     /// Records up to this revision were read.
--- a/src/state/key_value_store.hpp
+++ b/src/state/key_value_store.hpp
@@ -27,15 +27,18 @@
     too_old,   // a watch from a revision that is no longer kept
 };
 
+/// Of one key.
 struct ReadResult {
     StoreStatus outcome = StoreStatus::unknown;
     wire::Entry entry;
 };
+/// Of a listing or a watch.
 struct ListResult {
     StoreStatus outcome = StoreStatus::unknown;
     std::vector<wire::Entry> entries;
     std::uint64_t revision = 0;  // where a watch goes on, so that nothing is missed
 };
+/// Of a transaction.
 struct CasResult {
     StoreStatus outcome = StoreStatus::unknown;
     std::uint64_t revision = 0;
@@ -48,6 +51,7 @@
     using Clock = std::chrono::steady_clock;
 
     virtual ~KeyValueStore() = default;
+    /// One entry, or `absent`.
     [[nodiscard]] virtual ReadResult get(const std::string& key) = 0;
     /// All entries under a prefix.
     [[nodiscard]] virtual ListResult list(const std::string& prefix) = 0;
--- a/src/state/leader_state.cpp
+++ b/src/state/leader_state.cpp
@@ -30,7 +30,7 @@
 
 // Guard against a minute without placement: a catalog that arrived while the records were being
 // loaded found no controller to give it to, so a new one gets it here
-// (LeaderState.ACatalogThatCameWhileLoadingIsKnown).
+// (LeaderState.ACatalogReadWhileLoadingIsInstalled).
 void LeaderState::Access::install(std::unique_ptr<core::Controller> loaded,
                                   std::uint64_t leader_key_revision) {
     if (auto types = state_.machine_types(); !types.empty()) loaded->set_types(std::move(types));
--- a/src/state/leader_state.hpp
+++ b/src/state/leader_state.hpp
@@ -25,6 +25,7 @@
 
 namespace bendspindle::state {
 
+/// The shared state of one controller, leader or not.
 class LeaderState {
   public:
     class Access;
--- a/src/state/terminal_state_cache.hpp
+++ b/src/state/terminal_state_cache.hpp
@@ -15,6 +15,7 @@
 
 namespace bendspindle::state {
 
+/// A bounded map from job ids to terminal states.
 class TerminalStateCache {
   public:
     /// Keeps at most `capacity` jobs.
--- a/tests/leader_state_test.cpp
+++ b/tests/leader_state_test.cpp
@@ -1,4 +1,4 @@
-// Type the threads of a controller share: the order in which catalog and records arrive.
+// What the threads of a controller share: the order in which catalog and records arrive.
 #include "state/leader_state.hpp"
 
 #include <gtest/gtest.h>
@@ -33,7 +33,7 @@
 
 // Guard: a catalog that came between the loading of the records and the installing of the new
 // controller was lost to it, and for a minute nothing was placed.
-TEST(LeaderState, ACatalogThatCameWhileLoadingIsKnown) {
+TEST(LeaderState, ACatalogReadWhileLoadingIsInstalled) {
     LeaderState leader_state;
     auto controller = loaded();
     leader_state.set_machine_types({some_type()});
@@ -43,7 +43,7 @@
     EXPECT_EQ(access.leader_key_revision(), 7U);
 }
 
-TEST(LeaderState, ACatalogThatComesLaterIsKnown) {
+TEST(LeaderState, ACatalogReadLaterIsKnown) {
     LeaderState leader_state;
     {
         auto access = leader_state.lock();
@@ -55,9 +55,9 @@
     EXPECT_EQ(access.controller()->check(some_job()), core::Verdict::fits);
 }
 
-// Guard against an answer that goes back: a former life may still say "running" of what was told as
-// over, so nothing is recorded as over before it must have stopped.
-TEST(Finals, AreNotRecordedWhileAFormerLifeMayStillAnswer) {
+// Guard against an answer that goes back: a former incarnation may still answer "running" for
+// a job answered as ended, so no terminal state is recorded before that one must have stopped.
+TEST(TerminalStates, AreNotRecordedWhileAFormerIncarnationMayStillAnswer) {
     const auto controller = loaded();
     controller->set_types({some_type()});
     const core::TimePoint now{std::chrono::hours(1)};
@@ -72,33 +72,33 @@
     EXPECT_EQ(due[0].type, core::RecordWrite::Type::finish_job);
 }
 
-// Guard against went_back: old news of a job that had ended began it again once the cache of ended
-// jobs had forgotten it.
-TEST(JobWatchCursor, OldNewsBeginNoJobHoweverLate) {
-    JobWatchCursor news;
-    news.begin(10);
-    EXPECT_FALSE(news.is_new("job-1", 10));  // read when the records were, or over by then
-    EXPECT_TRUE(news.is_new("job-1", 11));
-    news.ended("job-1", 15);
-    EXPECT_FALSE(news.is_new("job-1", 11));
-    news.reached(14);
-    EXPECT_FALSE(news.is_new("job-1", 11));
-    EXPECT_TRUE(news.is_new("job-2", 15));
-    news.reached(15);
-    EXPECT_FALSE(news.is_new("job-1", 11));
-    EXPECT_EQ(news.revision(), 15U);
-    // A listing's own revision may be older than news that came before it.
-    news.reached(12);
-    EXPECT_EQ(news.revision(), 15U);
-    EXPECT_FALSE(news.is_new("job-1", 11));
+// Guard against went_back: a late event of a job that had ended began it again once the cache of
+// ended jobs had forgotten it.
+TEST(JobWatchCursor, ALateEventAdoptsNoEndedJob) {
+    JobWatchCursor cursor;
+    cursor.begin(10);
+    EXPECT_FALSE(cursor.is_new("job-1", 10));  // read when the records were, or over by then
+    EXPECT_TRUE(cursor.is_new("job-1", 11));
+    cursor.ended("job-1", 15);
+    EXPECT_FALSE(cursor.is_new("job-1", 11));
+    cursor.reached(14);
+    EXPECT_FALSE(cursor.is_new("job-1", 11));
+    EXPECT_TRUE(cursor.is_new("job-2", 15));
+    cursor.reached(15);
+    EXPECT_FALSE(cursor.is_new("job-1", 11));
+    EXPECT_EQ(cursor.revision(), 15U);
+    // A listing's own revision may be older than an event that came before it.
+    cursor.reached(12);
+    EXPECT_EQ(cursor.revision(), 15U);
+    EXPECT_FALSE(cursor.is_new("job-1", 11));
     // Another controller's records begin anew.
-    news.begin(20);
-    EXPECT_FALSE(news.is_new("job-2", 20));
-    EXPECT_TRUE(news.is_new("job-2", 21));
+    cursor.begin(20);
+    EXPECT_FALSE(cursor.is_new("job-2", 20));
+    EXPECT_TRUE(cursor.is_new("job-2", 21));
 }
 
-// Two lives of a process may begin in the same millisecond: no name may come from a clock.
-TEST(Names, ALaterEpochSharesNoneWithTheOneBefore) {
+// Two incarnations of a process may begin in the same millisecond: no name may come from a clock.
+TEST(Names, ALaterTermSharesNoneWithTheOneBefore) {
     core::Config config;
     config.zones = {"a"};
     config.teams = {{"red", {}, {}}};
@@ -124,9 +124,9 @@
     }
 }
 
-// Guard against ran_cancelled: one that no longer renews leases went on starting by direct call, in
-// its workers' next sessions, what another controller had cancelled.
-TEST(DirectCommands, OneThatMayNotRenewStartsNothing) {
+// Guard against ran_cancelled: a leader that no longer renews leases went on starting by direct
+// command, in its agents' next epochs, what another controller had cancelled.
+TEST(DirectCommands, ALeaderThatMayNotRenewStartsNothing) {
     const auto now = core::TimePoint{std::chrono::hours(1)};
     auto controller = loaded();
     controller->set_types({some_type()});
--- a/tests/read_consistency_test.cpp
+++ b/tests/read_consistency_test.cpp
@@ -1,5 +1,6 @@
-// Type users are told of a job never goes back: three real processes against stand-ins, all of them
-// asked at once, with the state service slow, silent and late.
+// Read consistency: no answer about a job is older than one that was given before, by whichever
+// controller. Three real processes against stand-ins, all of them asked at once, with the key-value
+// store slow, silent and late.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -40,7 +41,7 @@
     std::string stage;
 };
 
-Told told_by(const Response& response) {
+Told state_in(const Response& response) {
     if (response.status == 400 || response.status == 404 || response.status == 422)
         return Told::unknown;
     if (response.status != 200 && response.status != 201) return Told::no_state;
@@ -48,29 +49,29 @@
     return response.stage == "aborted" ? Told::cancelled : Told::open;
 }
 
-class ToldStates : public testing::Test {
+class ReadConsistency : public testing::Test {
   protected:
     using Clock = std::chrono::steady_clock;
 
-    explicit ToldStates(const standin::Setting& setting = {30.0, 30.0, true, false, 4096})
+    explicit ReadConsistency(const standin::Setting& setting = {30.0, 30.0, true, false, 4096})
         : base_(standin::port_base()),
           state_({base_ + 20, base_ + 22, base_ + 23, base_ + 24}),
           controllers_(base_, setting),
           cloud_(base_ + 21, controllers_.ports()) {}
 
-    // The first acts.
+    // The first is the leader.
     void SetUp() override {
         controllers_.start(0);
         ASSERT_TRUE(soon([&] { return leader() == 0; }));
         controllers_.start(1);
         controllers_.start(2);
-        // Each knows the machine types and who acts.
+        // Each knows the machine types and the leader.
         for (int i = 0; i < 3; ++i)
             ASSERT_TRUE(soon([&] {
-                return told_by(submit(i, "job-000000", core::Kind::service)) == Told::open;
+                return state_in(submit(i, "job-000000", core::Kind::service)) == Told::open;
             }));
         ASSERT_TRUE(cancelled_soon(0, "job-000000"));
-        // The news of its end have come, and the next are waited for.
+        // The event of its end has been watched, and the next is waited for.
         std::this_thread::sleep_for(300ms);
     }
     static bool soon(const std::function<bool()>& what, milliseconds limit = 30s) {
@@ -80,7 +81,7 @@
         }
         return false;
     }
-    // -1: none acts.
+    // -1: none.
     int leader() {
         const auto key = state_.value("steward").value_or(Value{});
         return key.is_object() ? key["name"].get<std::string>().back() - '0' : -1;
@@ -103,7 +104,7 @@
         });
     }
     bool cancelled_soon(int controller, const std::string& id) {
-        return soon([&] { return told_by(cancel(controller, id)) == Told::cancelled; });
+        return soon([&] { return state_in(cancel(controller, id)) == Told::cancelled; });
     }
 
     int base_;
@@ -125,25 +126,25 @@
         const auto body = wire::parse_cbor(result->body);
         Response response{result->status,
                           body && body->is_object() ? body->value("stage", "") : std::string()};
-        answer.told = told_by(response);
+        answer.told = state_in(response);
         history_.add(answer);
         return response;
     }
 };
 
 // The record was written at once, its answer took a second, and meanwhile the job was cancelled.
-TEST_F(ToldStates, AnAcceptanceThatLeavesLateIsNotOlder) {
+TEST_F(ReadConsistency, ALateAdmissionAnswerIsNotOutdated) {
     state_.slow_puts("job/job-000001", 1000ms);
     auto accepted = std::async(std::launch::async,
                                [&] { return submit(1, "job-000001", core::Kind::service); });
-    ASSERT_TRUE(soon([&] { return told_by(ask(0, "job-000001")) == Told::open; }));
+    ASSERT_TRUE(soon([&] { return state_in(ask(0, "job-000001")) == Told::open; }));
     ASSERT_TRUE(cancelled_soon(0, "job-000001"));
-    ASSERT_EQ(accepted.wait_for(0s), std::future_status::timeout) << "no meeting";
+    ASSERT_EQ(accepted.wait_for(0s), std::future_status::timeout) << "the faults did not coincide";
     EXPECT_EQ(accepted.get().stage, "aborted");
 }
 
 // The same where the controller stood still with the answer in hand.
-TEST_F(ToldStates, AnAcceptanceAfterAStandstillIsNotOlder) {
+TEST_F(ReadConsistency, AnAdmissionAnswerAfterASuspensionIsNotOutdated) {
     state_.slow_puts("job/job-000001", 300ms);
     auto accepted = std::async(std::launch::async,
                                [&] { return submit(1, "job-000001", core::Kind::service); });
@@ -157,7 +158,7 @@
 }
 
 // A submission is repeated; the read of its record takes a second, and meanwhile it is cancelled.
-TEST_F(ToldStates, ARecordReadLongAgoIsNotTold) {
+TEST_F(ReadConsistency, ARecordReadLongAgoIsReadAgain) {
     ASSERT_EQ(submit(1, "job-000001", core::Kind::service).status, 201);
     state_.slow_reads("job/job-000001", 1000ms);
     auto repeated = std::async(std::launch::async,
@@ -165,13 +166,13 @@
     std::this_thread::sleep_for(200ms);
     state_.slow_reads("", 0ms);
     ASSERT_TRUE(cancelled_soon(0, "job-000001"));
-    ASSERT_EQ(repeated.wait_for(0s), std::future_status::timeout) << "no meeting";
+    ASSERT_EQ(repeated.wait_for(0s), std::future_status::timeout) << "the faults did not coincide";
     EXPECT_EQ(repeated.get().stage, "aborted");
 }
 
-// The one that acts stands still past its lease, while it waits for a first record to be written;
-// it is asked before it learns that another acts.
-TEST_F(ToldStates, OneThatStoodStillPastItsLeaseTellsNothingOld) {
+// The leader is suspended past its lease, while it waits for a first record to be written;
+// it is asked before it sees that another leads.
+TEST_F(ReadConsistency, ALeaderSuspendedPastItsLeaseAnswersNothingOutdated) {
     ASSERT_EQ(submit(0, "job-000002", core::Kind::service).status, 201);
     state_.slow_puts("job/job-000001", 500ms);
     auto accepted = std::async(std::launch::async,
@@ -189,8 +190,8 @@
     EXPECT_EQ(history_.breaches(), std::vector<std::string>{});
 }
 
-// The final state is recorded and only the answer is missing: who asks is told from the record.
-TEST_F(ToldStates, AFinalStateUnderWayIsToldFromItsRecord) {
+// The final state is recorded and only the answer is missing: who asks is answered from the record.
+TEST_F(ReadConsistency, ATerminalStateBeingCommittedIsAnsweredFromItsRecord) {
     ASSERT_EQ(submit(0, "job-000001", core::Kind::service).status, 201);
     state_.slow_puts("over/job-000001", 1400ms);
     auto cancelled = std::async(std::launch::async, [&] { return cancel(0, "job-000001"); });
@@ -199,34 +200,34 @@
     for (int i = 0; i < 3; ++i) EXPECT_EQ(ask(i, "job-000001").stage, "aborted") << i;
     for (int i = 0; i < 3; ++i)
         EXPECT_EQ(submit(i, "job-000001", core::Kind::service).stage, "aborted") << i;
-    EXPECT_EQ(cancelled.wait_for(0s), std::future_status::timeout) << "no meeting";
+    EXPECT_EQ(cancelled.wait_for(0s), std::future_status::timeout) << "the faults did not coincide";
     EXPECT_EQ(cancelled.get().stage, "aborted");
     EXPECT_EQ(history_.breaches(), std::vector<std::string>{});
 }
 
-struct Apart : ToldStates {
-    Apart() : ToldStates({30.0, 30.0, true, true, 4096}) {}
+struct ReadConsistencyPartitioned : ReadConsistency {
+    ReadConsistencyPartitioned() : ReadConsistency({30.0, 30.0, true, true, 4096}) {}
 };
 
-// The one that acts hears neither the state service nor its peers, and users reach it.
-TEST_F(Apart, OneThatIsCutOffTellsNothingOld) {
+// The leader reaches neither the key-value store nor its peers, and users reach it.
+TEST_F(ReadConsistencyPartitioned, APartitionedLeaderAnswersNothingOutdated) {
     ASSERT_EQ(submit(0, "job-000001", core::Kind::service).status, 201);
     state_.refuse_at(1, true);
     ASSERT_TRUE(soon([&] { return leader() > 0; }));
     ASSERT_TRUE(cancelled_soon(leader(), "job-000001"));
-    for (int i = 0; i < 20; ++i) EXPECT_NE(told_by(ask(0, "job-000001")), Told::open);
+    for (int i = 0; i < 20; ++i) EXPECT_NE(state_in(ask(0, "job-000001")), Told::open);
     for (int i = 0; i < 5; ++i)
-        EXPECT_NE(told_by(submit(0, "job-000001", core::Kind::service)), Told::open);
+        EXPECT_NE(state_in(submit(0, "job-000001", core::Kind::service)), Told::open);
     EXPECT_EQ(history_.breaches(), std::vector<std::string>{});
 }
 
-struct Forgetful : ToldStates {
-    Forgetful() : ToldStates({30.0, 30.0, true, false, 1}) {}
+struct ReadConsistencySmallCache : ReadConsistency {
+    ReadConsistencySmallCache() : ReadConsistency({30.0, 30.0, true, false, 1}) {}
 };
 
-// News of an open job come three seconds late to the one that acts. Its user has submitted it there
+// The event of an open job reaches the leader three seconds late. Its user has submitted it there
 // too, and cancelled it; what is kept at hand of ended jobs has room for one, another one.
-TEST_F(Forgetful, OldNewsBeginNoEndedJobAgain) {
+TEST_F(ReadConsistencySmallCache, ALateWatchEventRestartsNoEndedJob) {
     state_.slow_watches("job/", 3000ms);
     ASSERT_EQ(submit(1, "job-000001", core::Kind::service).status, 201);
     ASSERT_EQ(submit(0, "job-000001", core::Kind::service).stage, "queued");
@@ -242,9 +243,9 @@
     EXPECT_EQ(history_.breaches(), std::vector<std::string>{});
 }
 
-// Accepted elsewhere a moment ago, and cancelled before the news of it: no need to send the user
+// Admitted by a follower a moment ago, and cancelled ahead of its event: no need to send the user
 // away.
-TEST_F(ToldStates, ACancellationAheadOfTheNewsIsConfirmed) {
+TEST_F(ReadConsistency, ACancellationAheadOfTheWatchEventIsConfirmed) {
     state_.slow_watches("job/", 3000ms);
     ASSERT_EQ(submit(1, "job-000001", core::Kind::service).status, 201);
     EXPECT_EQ(cancel(0, "job-000001").stage, "aborted");
@@ -253,7 +254,7 @@
 
 // Users, each with one job after the other, who ask all controllers within milliseconds after each
 // event; and what befalls controllers and the state service meanwhile.
-class Looks : public ToldStates {
+class ReadConsistencyUnderFaults : public ReadConsistency {
   protected:
     using Random = std::mt19937;
     static constexpr int users = 8;
@@ -282,7 +283,7 @@
     void use(const std::string& id, Random& random) {
         const auto plan = static_cast<Plan>(below(random, 4));
         const auto kind = kind_of(plan);
-        if (!soon([&] { return told_by(submit(below(random, 3), id, kind)) >= Told::open; }))
+        if (!soon([&] { return state_in(submit(below(random, 3), id, kind)) >= Told::open; }))
             return;
         look(id, kind, plan == Plan::cancelled_at_once, random);
         bool cancels = plan == Plan::cancelled_at_once || plan == Plan::service;
@@ -311,8 +312,8 @@
         std::this_thread::sleep_for(150ms);
         controllers_.start(controller);
     }
-    // About 12 s: the one that acts is killed and back at once; then an outage and another one
-    // killed, or the one that acts is refused by the state service for longer than its lease.
+    // About 12 s: the leader is killed and back at once; then an outage and another one
+    // killed, or the leader is refused by the key-value store for longer than its lease.
     void befall(unsigned seed) {
         Random random(seed);
         state_.trouble({0.2, 0.1, 1700ms, 3000ms, 0.2, 200ms}, seed);
@@ -346,9 +347,9 @@
             for (const auto& id : user.get()) {
                 ++jobs;
                 // Over, whatever befell; known to everybody.
-                EXPECT_TRUE(soon([&] { return told_by(ask(0, id)) >= Told::done; })) << id;
+                EXPECT_TRUE(soon([&] { return state_in(ask(0, id)) >= Told::done; })) << id;
                 for (int i = 0; i < 3; ++i)
-                    EXPECT_TRUE(soon([&] { return told_by(ask(i, id)) >= Told::done; })) << id;
+                    EXPECT_TRUE(soon([&] { return state_in(ask(i, id)) >= Told::done; })) << id;
             }
         for (const auto& breach : history_.breaches()) ADD_FAILURE() << breach;
         EXPECT_GE(jobs, static_cast<std::size_t>(users));
@@ -361,11 +362,11 @@
     }
 };
 
-TEST_F(Looks, FromTheFirstSeed) {
+TEST_F(ReadConsistencyUnderFaults, Seed1) {
     play(1);
 }
 
-TEST_F(Looks, FromTheSecondSeed) {
+TEST_F(ReadConsistencyUnderFaults, Seed2) {
     play(2);
 }
 
--- a/tests/standin/leader_change_simulation.cpp
+++ b/tests/standin/leader_change_simulation.cpp
@@ -117,7 +117,7 @@
                 std::move(response.body)};
     }
 
-    // As `Service::cancel`; the status, 200 only if the job is cancelled.
+    // As `api::JobCancellationHandler`; the status, 200 only if the job is cancelled.
     int cancel(const std::string& job, agents::RequestOrigin from) {
         if (const auto terminal_state = terminal_states.get(job))
             return terminal_state == core::TerminalState::cancelled ? 200 : 404;
@@ -183,7 +183,7 @@
         }
     }
 
-    // `Service::announce`.
+    // `daemon::Announcements`.
     void announce() {
         for (;;) {
             replication.round();
@@ -343,7 +343,7 @@
         }
     }
 
-    // `Service::place`.
+    // `daemon::PlacementLoop`.
     void place() {
         double next = 0;
         for (;;) {
@@ -357,7 +357,7 @@
             const auto calls =
                 controller()->direct_commands(timeline_.now(), replication.may_renew());
             auto& progress = *leader_state.lock().failover_progress();
-            progress.look(*controller(), timeline_.now());
+            progress.observe(*controller(), timeline_.now());
             if (progress.progressed(timeline_.now())) elector.made_progress();
             for (const auto& call : calls) world_.deliver_call(shared_from_this(), call);
         }
--- a/tests/state_writer_test.cpp
+++ b/tests/state_writer_test.cpp
@@ -1,4 +1,4 @@
-// Writing records, against a stand-in of the state service that calls some of them malformed.
+// Writing records, against a stand-in of the key-value store that calls some of them malformed.
 #include "state/state_writer.hpp"
 
 #include <gtest/gtest.h>
@@ -27,22 +27,22 @@
     return spec;
 }
 
-// Type a writing thread uses lives as long as the process, as in the service.
+// What a writing thread uses lives as long as the process, as in the service.
 struct Writing {
     explicit Writing(int port) : service(port), store({"127.0.0.1", port}) {}
     standin::StateService service;
     HttpKeyValueStore store;
     LeaderState leader_state;
     TerminalStateCache terminal_states{100};
-    StateWriter recorder{leader_state, store, terminal_states, limits};
-    JobAdmission acceptor{store, limits};
+    StateWriter writer{leader_state, store, terminal_states, limits};
+    JobAdmission admission{store, limits};
 };
 
 Writing& writing() {
     static auto* all = [] {
         auto* made = new Writing(21000 + static_cast<int>(::getpid() % 1000));
-        std::thread([made] { made->recorder.run(); }).detach();
-        std::thread([made] { made->acceptor.run(); }).detach();
+        std::thread([made] { made->writer.run(); }).detach();
+        std::thread([made] { made->admission.run(); }).detach();
         return made;
     }();
     return *all;
@@ -76,10 +76,9 @@
     access.remove_controller();
 }
 
-// Guard against went_back: the final state was recorded late, behind a write that got no answer;
-// who read the record told its user, and the controller that acts went on telling "running" or
-// "queued".
-TEST(StateWriter, ALateFinalIsNotFollowedByAnOlderState) {
+// Guard against went_back: the terminal state was recorded late, behind a write that got no answer;
+// who read the record answered so, and the leader went on answering "running" or "queued".
+TEST(StateWriter, ALateTerminalStateIsNotFollowedByAnOlderState) {
     auto& w = writing();
     const auto lease = w.store.grant_lease(60s);
     ASSERT_TRUE(lease);
@@ -98,27 +97,27 @@
     w.service.hold({2200ms, 4000ms});
     access.controller()->cancel("job-8", Clock::now());
     access.request_write();
-    int read_as_over = 0;
-    core::TerminalState told = core::TerminalState::none;
+    int read_as_ended = 0;
+    core::TerminalState answered = core::TerminalState::none;
     for (const auto until = Clock::now() + 15s; Clock::now() < until;) {
         access.unlock();
         const bool over = w.store.get(keys::over("job-8")).outcome == StoreStatus::ok;
         std::this_thread::sleep_for(20ms);
         access.relock();
         const auto status = access.controller()->status("job-8");
-        told = w.terminal_states.get("job-8").value_or(core::TerminalState::none);
-        if (told == core::TerminalState::cancelled) break;
+        answered = w.terminal_states.get("job-8").value_or(core::TerminalState::none);
+        if (answered == core::TerminalState::cancelled) break;
         if (!over) continue;
-        ++read_as_over;
+        ++read_as_ended;
         EXPECT_FALSE(status && status->terminal_state == core::TerminalState::none);
     }
-    EXPECT_GT(read_as_over, 0) << "the meeting did not come about";
-    EXPECT_EQ(told, core::TerminalState::cancelled);
+    EXPECT_GT(read_as_ended, 0) << "the faults did not coincide";
+    EXPECT_EQ(answered, core::TerminalState::cancelled);
     access.remove_controller();
 }
 
-// Type was refused was not carried out: the state before holds and is told.
-TEST(StateWriter, ARefusedFinalLeavesTheFormerState) {
+// What was refused was not carried out: the state before holds and is answered.
+TEST(StateWriter, ARejectedTerminalStateLeavesTheFormerState) {
     core::Config config;
     config.zones = {"a"};
     config.teams = {{"red", {}, {}}};
@@ -139,9 +138,9 @@
     EXPECT_FALSE(controller.knows("job-9"));
 }
 
-// Guard against went_back: a job held as cancelled whose record says that it is done was told as
-// cancelled here, and as done by everybody else.
-TEST(StateWriter, TheRecordOfAnEndHasTheLastWord) {
+// Guard against went_back: a job held as cancelled whose record says that it is done was answered
+// as cancelled here, and as done by everybody else.
+TEST(StateWriter, TheTerminalRecordDecides) {
     auto& w = writing();
     const auto lease = w.store.grant_lease(60s);
     ASSERT_TRUE(lease);
@@ -194,7 +193,7 @@
 
 // Guard: of an id sent with two bodies, to two controllers, the one that was accepted first is the
 // job. The other one was run under its name.
-TEST(StateWriter, AnIdSentWithTwoBodiesIsTheOneRecordedFirst) {
+TEST(StateWriter, AnIdSubmittedWithTwoBodiesIsTheOneRecordedFirst) {
     auto& w = writing();
     const auto lease = w.store.grant_lease(60s);
     ASSERT_TRUE(lease);
@@ -202,7 +201,7 @@
         w.store.compare_and_swap({}, {{keys::leader, wire::Value{{"name", "a"}}, lease}});
     core::JobRecord first;
     first.spec = job("job-11");
-    ASSERT_EQ(w.acceptor.accept(first).outcome, JobAdmission::Result::accepted);
+    ASSERT_EQ(w.admission.admit(first).outcome, JobAdmission::Result::admitted);
     auto access = w.leader_state.lock();
     core::Config config;
     config.zones = {"a"};
@@ -220,7 +219,7 @@
     access.remove_controller();
 }
 
-TEST(JobAdmission, AcceptsTheOthersWhenOneIsCalledMalformed) {
+TEST(JobAdmission, AdmitsTheOthersWhenOneIsCalledMalformed) {
     auto& w = writing();
     w.service.refuse("job/job-6");
     std::vector<std::thread> users;
@@ -230,14 +229,14 @@
         users.emplace_back([&, id] {
             core::JobRecord record;
             record.spec = job(id);
-            const auto outcome = w.acceptor.accept(std::move(record)).outcome;
+            const auto outcome = w.admission.admit(std::move(record)).outcome;
             const std::lock_guard lock(mutex);
             outcomes[id] = outcome;
         });
     for (auto& user : users) user.join();
-    EXPECT_EQ(outcomes["job-5"], JobAdmission::Result::accepted);
+    EXPECT_EQ(outcomes["job-5"], JobAdmission::Result::admitted);
     EXPECT_EQ(outcomes["job-6"], JobAdmission::Result::failed);
-    EXPECT_EQ(outcomes["job-7"], JobAdmission::Result::accepted);
+    EXPECT_EQ(outcomes["job-7"], JobAdmission::Result::admitted);
 }
 
 }  // namespace
