--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -1,3 +1,4 @@
+// The command line: `serve` runs a controller, `check` reads settings, the rest are client verbs.
 #include <malloc.h>
 #include <pthread.h>
 #include <spdlog/sinks/stdout_sinks.h>
--- a/src/state/leader_state.hpp
+++ b/src/state/leader_state.hpp
@@ -5,10 +5,11 @@
 /// call to another process is made under it. A thread takes what it needs, unlocks, calls, and
 /// comes back with the outcome; it then checks the term, since it may have been deposed meanwhile.
 ///
-/// Lock order, outermost first: the leader mutex (here); then, never two of them at once, the
-/// machine types' mutex (here), the mutexes of `leadership::CancellationReplication` and
-/// `leadership::LeaderElector`, and that of `TerminalStateCache`. None of these is held while the
-/// leader mutex is taken.
+/// Lock order, outermost first: the leader mutex (here); the mutex of
+/// `leadership::CancellationReplication`; that of `leadership::LeaderElector`. The machine types'
+/// mutex (here) and that of `TerminalStateCache` are taken inside the leader mutex too, and nothing
+/// inside them. Whatever may depose this controller (`Leadership::observe_newer_term`,
+/// `learn_leader`) takes the leader mutex and is called with none of these held.
 #pragma once
 
 #include <chrono>
@@ -41,8 +42,8 @@
     [[nodiscard]] Access lock();
 
     /// The machine types of the cloud's catalog; empty until it was read. The leader plans with
-    /// them, followers judge by them what can ever run. Not for a caller that holds `lock()` and
-    /// wants `set_machine_types`, which takes it.
+    /// them, followers judge by them what can ever run. `set_machine_types` takes the
+    /// leader mutex too, so it is not for a caller that holds `lock()`.
     [[nodiscard]] std::vector<core::MachineType> machine_types() const;
     [[nodiscard]] bool knows_machine_types() const;
     void set_machine_types(std::vector<core::MachineType> types);
@@ -101,6 +102,7 @@
     /// Wakes the placement loop: tasks or capacity may have changed.
     void request_placement();
     [[nodiscard]] bool placement_requested() const { return state_.placement_pending_; }
+    /// As `wait_for_write_request`.
     void wait_for_placement_request(core::Seconds limit);
     void take_placement_request() { state_.placement_pending_ = false; }
 
