--- a/src/agents/agent_command_client.cpp
+++ b/src/agents/agent_command_client.cpp
@@ -26,7 +26,8 @@
     const auto endpoint = io::parse_endpoint(command.address);
     if (!endpoint) return result;
     io::HttpClient client(*endpoint, call_limit);
-    const auto answer = client.post(wire::path::direct_commands, wire::direct_commands_body(command));
+    const auto answer =
+        client.post(wire::path::direct_commands, wire::direct_commands_body(command));
     if (!answer) return result;
     if (answer->status == 200 || answer->status == 409)
         result.heartbeat = wire::parse_heartbeat(answer->body);
@@ -70,13 +71,11 @@
         const auto call = next_command();
         const auto [outcome, heartbeat] = call_agent(call);
 
-        const std::lock_guard lock(leader_state_.mutex);
-        if (!leader_state_.controller || leader_state_.controller->term() != call.fencing_token)
-            continue;
-        leader_state_.controller->called(call, outcome, heartbeat ? &*heartbeat : nullptr,
-                                         Clock::now());
-        leader_state_.want_write();
-        if (may_allow_placement(call)) leader_state_.want_place();
+        auto access = leader_state_.lock();
+        if (!access.controller() || access.controller()->term() != call.fencing_token) continue;
+        access.controller()->called(call, outcome, heartbeat ? &*heartbeat : nullptr, Clock::now());
+        access.request_write();
+        if (may_allow_placement(call)) access.request_placement();
     }
 }
 
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -57,7 +57,7 @@
         return;
     }
     next_catalog_ = Clock::now() + catalog_every;
-    leader_state_.learn_types(std::move(*types));
+    leader_state_.set_machine_types(std::move(*types));
 }
 
 void CloudClient::report_listed_machines() {
@@ -74,8 +74,8 @@
         if (!list->more || machines.empty()) break;
         after = machines.back().name;
     }
-    const std::lock_guard lock(leader_state_.mutex);
-    if (leader_state_.controller) leader_state_.controller->listed(machines, asked, Clock::now());
+    auto access = leader_state_.lock();
+    if (access.controller()) access.controller()->listed(machines, asked, Clock::now());
 }
 
 void CloudClient::scale_out(const core::ScaleOutRequest& request, std::uint64_t term) {
@@ -94,10 +94,10 @@
         io::log::info("scaled_out", "request", request.request, "type", request.type, "zone",
                       request.zone, "spot", request.spot, "granted", names.size(), "requested",
                       request.count);
-        const std::lock_guard lock(leader_state_.mutex);
-        if (leader_state_.controller && leader_state_.controller->term() == term)
-            leader_state_.controller->scaled_out(request, names, Clock::now());
-        leader_state_.want_write();
+        auto access = leader_state_.lock();
+        if (access.controller() && access.controller()->term() == term)
+            access.controller()->scaled_out(request, names, Clock::now());
+        access.request_write();
         return;
     }
 }
@@ -112,11 +112,11 @@
     const auto answer = client_.post(wire::path::release, wire::release_body(names));
     if (!answer || answer->status != 200) return;
     io::log::info("scaled_in", "machines", names.size(), "first", names.front());
-    const std::lock_guard lock(leader_state_.mutex);
-    if (!leader_state_.controller || leader_state_.controller->term() != term) return;
-    leader_state_.controller->released(names);
-    leader_state_.want_write();
-    leader_state_.want_place();
+    auto access = leader_state_.lock();
+    if (!access.controller() || access.controller()->term() != term) return;
+    access.controller()->released(names);
+    access.request_write();
+    access.request_placement();
 }
 
 void CloudClient::run() {
@@ -126,11 +126,11 @@
         std::uint64_t term = 0;
         bool leading = false;
         {
-            const std::lock_guard lock(leader_state_.mutex);
-            if (leader_state_.controller) {
+            auto access = leader_state_.lock();
+            if (access.controller()) {
                 leading = true;
-                term = leader_state_.controller->term();
-                plan = leader_state_.controller->plan_scaling(Clock::now());
+                term = access.controller()->term();
+                plan = access.controller()->plan_scaling(Clock::now());
             }
         }
         // Releases free tasks for placement, so they go before what adds capacity.
--- a/tests/cloud_client_test.cpp
+++ b/tests/cloud_client_test.cpp
@@ -22,9 +22,10 @@
         core::Config config;
         config.zones = {"a"};
         config.teams = {{"red", {}, {}}};
-        leader_state.install(std::make_unique<core::Controller>(config, 1), 1);
+        auto access = leader_state.lock();
+        access.install(std::make_unique<core::Controller>(config, 1), 1);
         // Recorded by a former leader and silent for longer than a lease: it is to be released.
-        leader_state.controller->load_machine(
+        access.controller()->load_machine(
             {"m1", "127.0.0.1:1", "m4", "a", false, core::MachineStage::running, core::Seconds{0}},
             1, Clock::now() - 60s);
     }
@@ -49,9 +50,9 @@
     const auto until = Clock::now() + 3s;
     while (Clock::now() < until) {
         {
-            const std::lock_guard lock(fixture.leader_state.mutex);
-            fixture.leader_state.controller->cycle(Clock::now());
-            ASSERT_TRUE(fixture.leader_state.controller->machines().contains("m1"));
+            auto access = fixture.leader_state.lock();
+            access.controller()->cycle(Clock::now());
+            ASSERT_TRUE(access.controller()->machines().contains("m1"));
         }
         std::this_thread::sleep_for(50ms);
     }
@@ -60,9 +61,9 @@
     const auto deadline = Clock::now() + 20s;
     while (!released && Clock::now() < deadline) {
         std::this_thread::sleep_for(50ms);
-        const std::lock_guard lock(fixture.leader_state.mutex);
-        fixture.leader_state.controller->cycle(Clock::now());
-        released = !fixture.leader_state.controller->machines().contains("m1");
+        auto access = fixture.leader_state.lock();
+        access.controller()->cycle(Clock::now());
+        released = !access.controller()->machines().contains("m1");
     }
     EXPECT_TRUE(released);
 }
--- a/tests/state_writer_test.cpp
+++ b/tests/state_writer_test.cpp
@@ -1,4 +1,4 @@
-// Writing records, against a stand-in of the state service that calls some of them malformed.
+// Writing records, against a stand-in of the key-value store that calls some of them malformed.
 #include "state/state_writer.hpp"
 
 #include <gtest/gtest.h>
@@ -7,6 +7,7 @@
 #include <thread>
 
 #include "standin/services.hpp"
+#include "state/http_key_value_store.hpp"
 #include "state/job_admission.hpp"
 #include "wire/records.hpp"
 
@@ -26,22 +27,22 @@
     return spec;
 }
 
-// Type a writing thread uses lives as long as the process, as in the service.
+// What a writing thread uses lives as long as the process, as in the service.
 struct Writing {
     explicit Writing(int port) : service(port), store({"127.0.0.1", port}) {}
     standin::StateService service;
     HttpKeyValueStore store;
     LeaderState leader_state;
     TerminalStateCache terminal_states{100};
-    StateWriter recorder{leader_state, store, terminal_states, limits};
-    JobAdmission acceptor{store, limits};
+    StateWriter writer{leader_state, store, terminal_states, limits};
+    JobAdmission admission{store, limits};
 };
 
 Writing& writing() {
     static auto* all = [] {
         auto* made = new Writing(21000 + static_cast<int>(::getpid() % 1000));
-        std::thread([made] { made->recorder.run(); }).detach();
-        std::thread([made] { made->acceptor.run(); }).detach();
+        std::thread([made] { made->writer.run(); }).detach();
+        std::thread([made] { made->admission.run(); }).detach();
         return made;
     }();
     return *all;
@@ -56,70 +57,67 @@
     const auto leader =
         w.store.compare_and_swap({}, {{keys::leader, wire::Value{{"name", "a"}}, lease}});
     {
-        const std::lock_guard lock(w.leader_state.mutex);
+        auto access = w.leader_state.lock();
         core::Config config;
         config.zones = {"a"};
         config.teams = {{"red", {}, {}}};
-        w.leader_state.install(std::make_unique<core::Controller>(config, 1), leader.revision);
+        access.install(std::make_unique<core::Controller>(config, 1), leader.revision);
         for (const auto* id : {"job-1", "job-2", "job-3", "job-4"})
-            w.leader_state.controller->accept(job(id), core::WallTime{}, Clock::now());
-        w.leader_state.want_write();
+            access.controller()->accept(job(id), core::WallTime{}, Clock::now());
+        access.request_write();
     }
-    std::unique_lock lock(w.leader_state.mutex);
-    const bool written = w.leader_state.recorded.wait_for(lock, 10s, [&] {
-        return w.leader_state.controller->durable("job-1") &&
-               w.leader_state.controller->durable("job-3") &&
-               w.leader_state.controller->durable("job-4");
+    auto access = w.leader_state.lock();
+    const bool written = access.wait_for_commit(10s, [&] {
+        return access.controller()->durable("job-1") && access.controller()->durable("job-3") &&
+               access.controller()->durable("job-4");
     });
     EXPECT_TRUE(written);
-    EXPECT_FALSE(w.leader_state.controller->durable("job-2"));
-    w.leader_state.controller.reset();
+    EXPECT_FALSE(access.controller()->durable("job-2"));
+    access.remove_controller();
 }
 
-// Guard against went_back: the final state was recorded late, behind a write that got no answer;
-// who read the record told its user, and the controller that acts went on telling "running" or
-// "queued".
-TEST(StateWriter, ALateFinalIsNotFollowedByAnOlderState) {
+// Guard against went_back: the terminal state was recorded late, behind a write that got no answer;
+// who read the record answered so, and the leader went on answering "running" or "queued".
+TEST(StateWriter, ALateTerminalStateIsNotFollowedByAnOlderState) {
     auto& w = writing();
     const auto lease = w.store.grant_lease(60s);
     ASSERT_TRUE(lease);
     const auto leader =
         w.store.compare_and_swap({}, {{keys::leader, wire::Value{{"name", "a"}}, lease}});
-    std::unique_lock lock(w.leader_state.mutex);
+    auto access = w.leader_state.lock();
     core::Config config;
     config.zones = {"a"};
     config.teams = {{"red", {}, {}}};
-    w.leader_state.install(std::make_unique<core::Controller>(config, 2), leader.revision);
-    w.leader_state.controller->accept(job("job-8"), core::WallTime{}, Clock::now());
-    w.leader_state.want_write();
-    ASSERT_TRUE(w.leader_state.recorded.wait_for(
-        lock, 10s, [&] { return w.leader_state.controller->durable("job-8"); }));
+    access.install(std::make_unique<core::Controller>(config, 2), leader.revision);
+    access.controller()->accept(job("job-8"), core::WallTime{}, Clock::now());
+    access.request_write();
+    ASSERT_TRUE(access.wait_for_commit(10s, [&] { return access.controller()->durable("job-8"); }));
 
     // The first is carried out while the second, its repeat, is waited for.
     w.service.hold({2200ms, 4000ms});
-    w.leader_state.controller->cancel("job-8", Clock::now());
-    w.leader_state.want_write();
-    int read_as_over = 0;
-    core::TerminalState told = core::TerminalState::none;
+    access.controller()->cancel("job-8", Clock::now());
+    access.request_write();
+    int read_as_ended = 0;
+    core::TerminalState answered = core::TerminalState::none;
     for (const auto until = Clock::now() + 15s; Clock::now() < until;) {
-        lock.unlock();
+        access.unlock();
         const bool over = w.store.get(keys::over("job-8")).outcome == StoreStatus::ok;
         std::this_thread::sleep_for(20ms);
-        lock.lock();
-        const auto status = w.leader_state.controller->status("job-8");
-        told = w.terminal_states.get("job-8").value_or(core::TerminalState::none);
-        if (told == core::TerminalState::cancelled) break;
+        access.relock();
+        const auto status = access.controller()->status("job-8");
+        answered = w.terminal_states.get("job-8").value_or(core::TerminalState::none);
+        if (answered == core::TerminalState::cancelled) break;
         if (!over) continue;
-        ++read_as_over;
+        ++read_as_ended;
         EXPECT_FALSE(status && status->terminal_state == core::TerminalState::none);
     }
-    EXPECT_GT(read_as_over, 0) << "the meeting did not come about";
-    EXPECT_EQ(told, core::TerminalState::cancelled);
-    w.leader_state.controller.reset();
+    EXPECT_GT(read_as_ended, 0) << "the faults did not coincide";
+    EXPECT_EQ(answered, core::TerminalState::cancelled);
+    access.remove_controller();
 }
 
-// Type was refused was not carried out: the state before holds and is told.
-TEST(StateWriter, ARefusedFinalLeavesTheFormerState) {
+// What was refused was not carried out: the state before holds and is answered.
+TEST(StateWriter, ARejectedTerminalStateLeavesTheFormerState) {
     core::Config config;
     config.zones = {"a"};
     config.teams = {{"red", {}, {}}};
@@ -140,9 +138,9 @@
     EXPECT_FALSE(controller.knows("job-9"));
 }
 
-// Guard against went_back: a job held as cancelled whose record says that it is done was told as
-// cancelled here, and as done by everybody else.
-TEST(StateWriter, TheRecordOfAnEndHasTheLastWord) {
+// Guard against went_back: a job held as cancelled whose record says that it is done was answered
+// as cancelled here, and as done by everybody else.
+TEST(StateWriter, TheTerminalRecordDecides) {
     auto& w = writing();
     const auto lease = w.store.grant_lease(60s);
     ASSERT_TRUE(lease);
@@ -155,7 +153,7 @@
     record.home = "a";
     const auto put = w.store.compare_and_swap(
         {}, {{keys::job("job-10"), wire::job_record(record), std::nullopt}});
-    std::unique_lock lock(w.leader_state.mutex);
+    auto access = w.leader_state.lock();
     core::Config config;
     config.zones = {"a"};
     config.teams = {{"red", {}, {}}};
@@ -177,25 +175,25 @@
         {"job-10", 0, 7, core::TaskState::running, core::ExitCause::none, false});
     controller->heartbeat(heartbeat, Clock::now());
     ASSERT_EQ(controller->status("job-10")->running, 1U);
-    w.leader_state.install(std::move(controller), leader.revision);
+    access.install(std::move(controller), leader.revision);
     const wire::Value over{{"final", "done"}};
     w.store.compare_and_swap(
         {}, {{keys::job("job-10"), std::nullopt, {}}, {keys::over("job-10"), over, {}}});
-    w.leader_state.controller->cancel("job-10", Clock::now());
-    w.leader_state.want_write();
-    ASSERT_TRUE(w.leader_state.recorded.wait_for(
-        lock, 10s, [&] { return w.terminal_states.get("job-10").has_value(); }));
+    access.controller()->cancel("job-10", Clock::now());
+    access.request_write();
+    ASSERT_TRUE(
+        access.wait_for_commit(10s, [&] { return w.terminal_states.get("job-10").has_value(); }));
     EXPECT_EQ(w.terminal_states.get("job-10"), core::TerminalState::done);
     // Its task is still there, and so is the job.
-    const auto status = w.leader_state.controller->status("job-10");
+    const auto status = access.controller()->status("job-10");
     ASSERT_TRUE(status);
     EXPECT_EQ(status->terminal_state, core::TerminalState::done);
-    w.leader_state.controller.reset();
+    access.remove_controller();
 }
 
 // Guard: of an id sent with two bodies, to two controllers, the one that was accepted first is the
 // job. The other one was run under its name.
-TEST(StateWriter, AnIdSentWithTwoBodiesIsTheOneRecordedFirst) {
+TEST(StateWriter, AnIdSubmittedWithTwoBodiesIsTheOneRecordedFirst) {
     auto& w = writing();
     const auto lease = w.store.grant_lease(60s);
     ASSERT_TRUE(lease);
@@ -203,25 +201,25 @@
         w.store.compare_and_swap({}, {{keys::leader, wire::Value{{"name", "a"}}, lease}});
     core::JobRecord first;
     first.spec = job("job-11");
-    ASSERT_EQ(w.acceptor.accept(first).outcome, JobAdmission::Result::accepted);
-    std::unique_lock lock(w.leader_state.mutex);
+    ASSERT_EQ(w.admission.admit(first).outcome, JobAdmission::Result::admitted);
+    auto access = w.leader_state.lock();
     core::Config config;
     config.zones = {"a"};
     config.teams = {{"red", {}, {}}};
-    w.leader_state.install(std::make_unique<core::Controller>(config, 5), leader.revision);
+    access.install(std::make_unique<core::Controller>(config, 5), leader.revision);
     auto second = job("job-11");
     second.tasks = 9;
-    w.leader_state.controller->accept(second, core::WallTime{}, Clock::now());
-    w.leader_state.want_write();
-    ASSERT_TRUE(w.leader_state.recorded.wait_for(
-        lock, 10s, [&] { return w.leader_state.controller->durable("job-11"); }));
-    EXPECT_TRUE(w.leader_state.controller->found("job-11"));
-    ASSERT_EQ(w.leader_state.controller->jobs().size(), 1U);
-    EXPECT_EQ(w.leader_state.controller->jobs().begin()->second->spec.tasks, first.spec.tasks);
-    w.leader_state.controller.reset();
+    access.controller()->accept(second, core::WallTime{}, Clock::now());
+    access.request_write();
+    ASSERT_TRUE(
+        access.wait_for_commit(10s, [&] { return access.controller()->durable("job-11"); }));
+    EXPECT_TRUE(access.controller()->found("job-11"));
+    ASSERT_EQ(access.controller()->jobs().size(), 1U);
+    EXPECT_EQ(access.controller()->jobs().begin()->second->spec.tasks, first.spec.tasks);
+    access.remove_controller();
 }
 
-TEST(JobAdmission, AcceptsTheOthersWhenOneIsCalledMalformed) {
+TEST(JobAdmission, AdmitsTheOthersWhenOneIsCalledMalformed) {
     auto& w = writing();
     w.service.refuse("job/job-6");
     std::vector<std::thread> users;
@@ -231,14 +229,14 @@
         users.emplace_back([&, id] {
             core::JobRecord record;
             record.spec = job(id);
-            const auto outcome = w.acceptor.accept(std::move(record)).outcome;
+            const auto outcome = w.admission.admit(std::move(record)).outcome;
             const std::lock_guard lock(mutex);
             outcomes[id] = outcome;
         });
     for (auto& user : users) user.join();
-    EXPECT_EQ(outcomes["job-5"], JobAdmission::Result::accepted);
+    EXPECT_EQ(outcomes["job-5"], JobAdmission::Result::admitted);
     EXPECT_EQ(outcomes["job-6"], JobAdmission::Result::failed);
-    EXPECT_EQ(outcomes["job-7"], JobAdmission::Result::accepted);
+    EXPECT_EQ(outcomes["job-7"], JobAdmission::Result::admitted);
 }
 
 }  // namespace
