--- a/src/agents/agent_command_client.cpp
+++ b/src/agents/agent_command_client.cpp
@@ -8,6 +8,7 @@
 
 #include "io/http_client.hpp"
 #include "wire/agent_messages.hpp"
+#include "wire/http_status.hpp"
 
 namespace bendspindle::agents {
 
@@ -29,10 +30,12 @@
     const auto answer =
         client.post(wire::path::direct_commands, wire::direct_commands_body(command));
     if (!answer) return result;
-    if (answer->status == 200 || answer->status == 409)
+    if (answer->status == wire::http_status::ok || answer->status == wire::http_status::conflict)
         result.heartbeat = wire::parse_heartbeat(answer->body);
-    if (answer->status == 409) result.outcome = core::CommandOutcome::rejected;
-    if (answer->status == 200 && result.heartbeat) result.outcome = core::CommandOutcome::executed;
+    if (answer->status == wire::http_status::conflict)
+        result.outcome = core::CommandOutcome::rejected;
+    if (answer->status == wire::http_status::ok && result.heartbeat)
+        result.outcome = core::CommandOutcome::executed;
     return result;
 }
 
--- a/src/agents/heartbeat_handler.cpp
+++ b/src/agents/heartbeat_handler.cpp
@@ -5,6 +5,7 @@
 
 #include "io/log.hpp"
 #include "wire/agent_messages.hpp"
+#include "wire/http_status.hpp"
 #include "wire/user_messages.hpp"
 
 namespace bendspindle::agents {
@@ -63,7 +64,8 @@
 
 wire::Response HeartbeatHandler::heartbeat(const std::string& body, RequestOrigin origin) {
     const auto heartbeat = wire::parse_heartbeat(body);
-    if (!heartbeat) return {400, 0, wire::error_body("malformed report")};
+    if (!heartbeat)
+        return {wire::http_status::bad_request, 0, wire::error_body("malformed report")};
     const auto status = leadership_.status();
     if (!status.leading) {
         if (origin == RequestOrigin::peer) return wire::unavailable("another controller acts");
@@ -98,7 +100,7 @@
         std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
                     [](const auto& task) { return task.state == core::TaskState::exited; });
     if (frees_capacity) access.request_placement();
-    return {200, 0, wire::commands_body(answer.fencing_token, answer.commands)};
+    return {wire::http_status::ok, 0, wire::commands_body(answer.fencing_token, answer.commands)};
 }
 
 wire::Response HeartbeatHandler::at_follower(const core::Heartbeat& heartbeat,
@@ -107,18 +109,18 @@
     if (heartbeat.fencing_token > status.term)
         leadership_.observe_newer_term(heartbeat.fencing_token);
     if (status.leader.empty() || heartbeat.fencing_token > status.term)
-        return {503, 0, wire::error_body("no view")};
+        return {wire::http_status::service_unavailable, 0, wire::error_body("no view")};
     const bool knows_leader = heartbeat.fencing_token == status.term;
     bool redirect = false;
     {
         const std::lock_guard lock(mutex_);
         redirect = routing_.should_redirect(heartbeat.machine, knows_leader, clock_());
     }
-    if (redirect) return {421, 0, wire::redirect_body(status.leader)};
+    if (redirect) return {wire::http_status::misdirected, 0, wire::redirect_body(status.leader)};
     // The agent cannot reach the leader: its heartbeat is forwarded.
     if (auto response = leadership::forward_to_leader(wire::peer::Op::heartbeat, heartbeat.machine,
                                                       body, leadership_, peers_);
-        response && response->status == 200)
+        response && response->status == wire::http_status::ok)
         return *response;
     return renew_without_leader(heartbeat, status.term);
 }
@@ -133,7 +135,7 @@
     for (const auto& command : *stops)
         io::log::info("cancelled_task_stopped_without_leader", "machine", heartbeat.machine, "job",
                       command.job, "task", command.index);
-    return {200, 0, wire::commands_body(term, *stops)};
+    return {wire::http_status::ok, 0, wire::commands_body(term, *stops)};
 }
 
 }  // namespace bendspindle::agents
--- a/src/api/job_cancellation.cpp
+++ b/src/api/job_cancellation.cpp
@@ -3,6 +3,7 @@
 #include <chrono>
 
 #include "api/commit_limit.hpp"
+#include "wire/http_status.hpp"
 #include "wire/user_messages.hpp"
 
 namespace bendspindle::api {
@@ -20,7 +21,8 @@
       records_(records) {}
 
 wire::Response JobCancellationHandler::handle(const std::string& id, agents::RequestOrigin origin) {
-    if (!wire::valid_job_id(id)) return {404, 0, wire::error_body("no such job")};
+    if (!wire::valid_job_id(id))
+        return {wire::http_status::not_found, 0, wire::error_body("no such job")};
     if (auto response = records_.from_terminal_cache(id, TaskCounts::omitted)) return *response;
     if (leadership_.status().leading) return cancel_as_leader(id);
     if (origin == agents::RequestOrigin::peer) return wire::unavailable("another controller acts");
@@ -57,7 +59,8 @@
 std::optional<wire::Response> JobCancellationHandler::adopt_unknown(const std::string& id,
                                                                     std::uint64_t term) {
     auto response = records_.read(id, TaskCounts::omitted);
-    if (response.status != 200 || wire::terminal_state_in_status(response.body)) return response;
+    if (response.status != wire::http_status::ok || wire::terminal_state_in_status(response.body))
+        return response;
     if (!job_watch_.adopt_one(id, term)) return wire::unavailable("the job is not loaded");
     return std::nullopt;
 }
--- a/src/api/job_cancellation.hpp
+++ b/src/api/job_cancellation.hpp
@@ -1,7 +1,7 @@
 /// The request to cancel a job.
 ///
 /// Confirmed only once enough peers know of the cancellation and its terminal record is committed:
-/// from then on the job's tasks end whichever controller is lost (docs/troubles.md, "What a
+/// from then on the job's tasks end whichever controller is lost (docs/failure-modes.md, "What a
 /// confirmed cancellation needs"). A follower forwards to the leader. Called on the threads of the
 /// HTTP server and of the peer server, any number at once.
 #pragma once
--- a/src/api/job_records.cpp
+++ b/src/api/job_records.cpp
@@ -3,6 +3,7 @@
 #include <utility>
 
 #include "state/keys.hpp"
+#include "wire/http_status.hpp"
 #include "wire/records.hpp"
 #include "wire/user_messages.hpp"
 
@@ -30,13 +31,15 @@
 
 wire::Response status_response(const std::string& id, const core::JobStatus& status,
                                TaskCounts counts) {
-    return {200, 0, wire::status_body(id, status, counts == TaskCounts::included)};
+    return {wire::http_status::ok, 0,
+            wire::status_body(id, status, counts == TaskCounts::included)};
 }
 
 bool may_be_outdated(const wire::Response& response, Clock::time_point asked) {
     if (Clock::now() - asked <= fresh_for) return false;
-    if (response.status == 404) return true;
-    return response.status == 200 && !wire::terminal_state_in_status(response.body);
+    if (response.status == wire::http_status::not_found) return true;
+    return response.status == wire::http_status::ok &&
+           !wire::terminal_state_in_status(response.body);
 }
 
 JobRecords::JobRecords(state::KeyValueStore& store, state::TerminalStateCache& terminal_states,
@@ -67,7 +70,9 @@
 
 wire::Response JobRecords::read_paced_of_open_job(const std::string& id, TaskCounts counts) {
     auto response = read_paced(id, counts);
-    return response.status == 404 ? wire::unavailable("the job is being recorded") : response;
+    return response.status == wire::http_status::not_found
+               ? wire::unavailable("the job is being recorded")
+               : response;
 }
 
 wire::Response JobRecords::read(const std::string& id, TaskCounts counts) {
@@ -90,7 +95,7 @@
 wire::Response JobRecords::read_terminal_record(const std::string& id, TaskCounts counts) {
     const auto over = store_.get(state::keys::over(id));
     if (over.outcome == state::StoreStatus::absent)
-        return {404, 0, wire::error_body("no such job")};
+        return {wire::http_status::not_found, 0, wire::error_body("no such job")};
     if (over.outcome != state::StoreStatus::ok)
         return wire::unavailable("the state service does not answer");
     const auto terminal_state = wire::parse_terminal_record(over.entry.value);
--- a/src/api/job_status.cpp
+++ b/src/api/job_status.cpp
@@ -2,6 +2,7 @@
 
 #include <chrono>
 
+#include "wire/http_status.hpp"
 #include "wire/user_messages.hpp"
 
 namespace bendspindle::api {
@@ -11,7 +12,8 @@
     : leadership_(leadership), peers_(peers), leader_state_(leader_state), records_(records) {}
 
 wire::Response JobStatusHandler::handle(const std::string& id, agents::RequestOrigin origin) {
-    if (!wire::valid_job_id(id)) return {404, 0, wire::error_body("no such job")};
+    if (!wire::valid_job_id(id))
+        return {wire::http_status::not_found, 0, wire::error_body("no such job")};
     if (auto response = records_.from_terminal_cache(id, TaskCounts::included)) return *response;
     if (leadership_.status().leading) return answer_as_leader(id);
     if (origin == agents::RequestOrigin::peer) return wire::unavailable("another controller acts");
@@ -40,7 +42,8 @@
     const auto asked = std::chrono::steady_clock::now();
     auto response =
         leadership::forward_to_leader(wire::peer::Op::status, id, {}, leadership_, peers_);
-    if (!response || response->status == 503 || may_be_outdated(*response, asked))
+    if (!response || response->status == wire::http_status::service_unavailable ||
+        may_be_outdated(*response, asked))
         return records_.read_paced(id, TaskCounts::included);
     // The next to ask here needs nobody else.
     records_.remember_terminal_state(id, *response);
--- a/src/api/job_submission.cpp
+++ b/src/api/job_submission.cpp
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "api/commit_limit.hpp"
+#include "wire/http_status.hpp"
 #include "wire/user_messages.hpp"
 
 namespace bendspindle::api {
@@ -30,7 +31,7 @@
 
 wire::Response JobSubmissionHandler::handle(const std::string& body) {
     const auto parsed = wire::parse_job(body);
-    if (!parsed.job) return {400, 0, wire::error_body(parsed.error)};
+    if (!parsed.job) return {wire::http_status::bad_request, 0, wire::error_body(parsed.error)};
     if (auto response = records_.from_terminal_cache(parsed.job->id, TaskCounts::omitted))
         return *response;
     if (!leadership_.status().leading) return admit_as_follower(*parsed.job);
@@ -68,7 +69,8 @@
         controller != nullptr && leadership_.lease_valid()) {
         if (const auto status = controller->status(id)) {
             auto response = status_response(id, *status, TaskCounts::omitted);
-            if (is_new && !controller->found(id)) response.status = 201;
+            if (is_new && !controller->met_existing_record(id))
+                response.status = wire::http_status::created;
             return response;
         }
     }
@@ -91,19 +93,23 @@
         return wire::unavailable("the job could not be recorded in time");
     const bool is_new = answer.outcome == state::JobAdmission::Result::admitted;
     if (is_new && Clock::now() - answer.sent <= created_is_fresh_for)
-        return {201, 0, wire::status_body(spec.id, core::JobStatus{}, false)};
+        return {wire::http_status::created, 0,
+                wire::status_body(spec.id, core::JobStatus{}, false)};
     // Guard against went_back: with the transaction's answer held up for a second the 201 "queued"
     // left after others had answered with the job's end.
     auto response = records_.read(spec.id, TaskCounts::omitted);
-    if (response.status == 404) return wire::unavailable("the record is changing");
-    if (is_new && response.status == 200) response.status = 201;
+    if (response.status == wire::http_status::not_found)
+        return wire::unavailable("the record is changing");
+    if (is_new && response.status == wire::http_status::ok)
+        response.status = wire::http_status::created;
     return response;
 }
 
 // It may have been admitted before teams or types changed; what was admitted stays so.
 wire::Response JobSubmissionHandler::answer_never_fits(const std::string& id) {
     auto response = records_.read(id, TaskCounts::omitted);
-    if (response.status == 404) return {422, 0, wire::error_body("the job can never run")};
+    if (response.status == wire::http_status::not_found)
+        return {wire::http_status::unprocessable, 0, wire::error_body("the job can never run")};
     return response;
 }
 
--- a/src/api/peer_requests.cpp
+++ b/src/api/peer_requests.cpp
@@ -3,6 +3,8 @@
 #include <cstdint>
 #include <utility>
 
+#include "wire/http_status.hpp"
+
 namespace bendspindle::api {
 
 PeerRequests::PeerRequests(PeerRequestHandlers handlers, leadership::Leadership& leadership,
@@ -44,13 +46,13 @@
 wire::Response PeerRequests::leader_announcement(const wire::peer::Request& request) {
     if (request.term >= leadership_.status().term) handlers_.health.leader_announced();
     leadership_.learn_leader(request.term, request.id);
-    return {200, 0, {}};
+    return {wire::http_status::ok, 0, {}};
 }
 
 wire::Response PeerRequests::cancellation_snapshot(const std::string& peer) {
     if (!leadership_.status().leading) return replication_.follower_snapshot();
     const auto access = leader_state_.lock();
-    if (access.controller() == nullptr) return {503, 0, {}};
+    if (access.controller() == nullptr) return {wire::http_status::service_unavailable, 0, {}};
     return replication_.leader_snapshot(peer, leadership::cancelled_jobs(*access.controller()));
 }
 
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -9,6 +9,7 @@
 
 #include "io/log.hpp"
 #include "wire/cloud.hpp"
+#include "wire/http_status.hpp"
 
 namespace bendspindle::cloud {
 
@@ -51,7 +52,9 @@
 void CloudClient::refresh_catalog() {
     wait_for_rate_limit();
     const auto answer = client_.get(wire::path::catalog);
-    auto types = answer && answer->status == 200 ? wire::parse_catalog(answer->body) : std::nullopt;
+    auto types = answer && answer->status == wire::http_status::ok
+                     ? wire::parse_catalog(answer->body)
+                     : std::nullopt;
     if (!types || types->empty()) {
         next_catalog_ = Clock::now() + catalog_retry;
         return;
@@ -67,7 +70,7 @@
     for (;;) {
         wait_for_rate_limit();
         const auto answer = client_.get(wire::path::list(after, list_page_size));
-        if (!answer || answer->status != 200) return;
+        if (!answer || answer->status != wire::http_status::ok) return;
         auto list = wire::parse_list(answer->body);
         if (!list) return;
         for (auto& machine : list->machines) machines.push_back(std::move(machine));
@@ -84,11 +87,11 @@
         if (!lease_valid_()) return;
         const auto answer = client_.post(wire::path::machines, wire::rent_body(request));
         std::vector<std::string> names;
-        if (answer && answer->status == 200) {
-            const auto parsed = wire::parse_rented(answer->body);
+        if (answer && answer->status == wire::http_status::ok) {
+            const auto parsed = wire::parse_scale_out_response(answer->body);
             if (!parsed) continue;
             names = *parsed;
-        } else if (!answer || answer->status != 503) {
+        } else if (!answer || answer->status != wire::http_status::service_unavailable) {
             continue;
         }
         io::log::info("scaled_out", "request", request.request, "type", request.type, "zone",
@@ -110,7 +113,7 @@
     const auto& names = lease_valid_() ? plan.release : plan.overdue;
     if (names.empty()) return;
     const auto answer = client_.post(wire::path::release, wire::release_body(names));
-    if (!answer || answer->status != 200) return;
+    if (!answer || answer->status != wire::http_status::ok) return;
     io::log::info("scaled_in", "machines", names.size(), "first", names.front());
     auto access = leader_state_.lock();
     if (!access.controller() || access.controller()->term() != term) return;
--- a/src/config/core_config.cpp
+++ b/src/config/core_config.cpp
@@ -15,7 +15,7 @@
     config.least_paid = own.least_paid;
     config.headroom = own.headroom;
     config.demand_memory = own.demand_memory;
-    config.floors = own.floors;
+    config.fair_share_settings = own.fair_share_settings;
     return config;
 }
 
--- a/src/config/fair_share_settings.cpp
+++ b/src/config/fair_share_settings.cpp
@@ -26,34 +26,34 @@
 
 }  // namespace
 
-fair_share::FloorSettings load_fair_share_settings(const std::string& file,
-                                                   const Settings& settings) {
-    fair_share::FloorSettings floors;
+fair_share::FairShareSettings load_fair_share_settings(const std::string& file,
+                                                       const Settings& settings) {
+    fair_share::FairShareSettings shares;
     if (file.empty()) {
         // On a site of few machines a minimum share is less than one gang's size, and claims it
         // whole: urgent gangs lost their machines to work that was served anyway
-        // (docs/admission.md).
-        floors.whole = 0;
-        return floors;
+        // (docs/fair-share.md).
+        shares.total_share = 0;
+        return shares;
     }
     const auto read_entry = [&](const Entry& entry) {
         if (entry.size() == 2 && entry[0] == "floors") {
-            floors.whole = non_negative(file, entry[0], entry[1]);
-            if (floors.whole > 1) throw SettingsError(file, entry[0], "must be at most 1");
+            shares.total_share = non_negative(file, entry[0], entry[1]);
+            if (shares.total_share > 1) throw SettingsError(file, entry[0], "must be at most 1");
         } else if (entry.size() == 2 && entry[0] == "patience-s") {
-            floors.patience = core::Seconds(non_negative(file, entry[0], entry[1]));
+            shares.starvation_timeout = core::Seconds(non_negative(file, entry[0], entry[1]));
         } else if (entry.size() == 3 && entry[0] == "class") {
-            read_weight(file, entry, floors.class_weights);
+            read_weight(file, entry, shares.class_weights);
         } else if (entry.size() == 3 && entry[0] == "team") {
             require_team(file, entry[1], settings);
-            read_weight(file, entry, floors.team_weights);
+            read_weight(file, entry, shares.team_weights);
         } else {
             return false;
         }
         return true;
     };
     for_each_entry(file, "(NAME VALUE), (class NAME WEIGHT) or (team NAME WEIGHT)", read_entry);
-    return floors;
+    return shares;
 }
 
 }  // namespace bendspindle::config
--- a/src/config/fair_share_settings.hpp
+++ b/src/config/fair_share_settings.hpp
@@ -11,7 +11,7 @@
 
 /// Minimum shares and weights; without a file (its name is empty) there are no minimum shares. A
 /// team must be one of the platform's settings. Throws `SettingsError`.
-fair_share::FloorSettings load_fair_share_settings(const std::string& file,
-                                                   const Settings& settings);
+fair_share::FairShareSettings load_fair_share_settings(const std::string& file,
+                                                       const Settings& settings);
 
 }  // namespace bendspindle::config
--- a/src/config/operator_settings.hpp
+++ b/src/config/operator_settings.hpp
@@ -22,7 +22,8 @@
     std::size_t threads = 160;  ///< for connections
     std::size_t stack_kb = 256;
     std::size_t terminal_states_cached = 4096;
-    fair_share::FloorSettings floors;  ///< from a file of its own: deploy/admission.sexp
+    fair_share::FairShareSettings
+        fair_share_settings;  ///< from a file of its own: deploy/admission.sexp
 };
 
 /// Without a file (its name is empty) the defaults. Throws `SettingsError`, also for a name that
--- a/src/core/cluster/machine.hpp
+++ b/src/core/cluster/machine.hpp
@@ -31,7 +31,7 @@
 };
 
 /// A task that is assigned to a machine. Both pointers are valid as long as the entry is:
-/// `JobTable::drop` removes the assignment and the entry together. They are kept because a
+/// `JobTable::unassign` removes the assignment and the entry together. They are kept because a
 /// machine's list is walked far more often than it changes.
 struct AssignedTask {
     Job* job = nullptr;
@@ -82,7 +82,7 @@
 };
 
 /// Whether messages to it arrive. That its own arrive proves nothing of the other direction: a
-/// one-way partition (docs/troubles.md).
+/// one-way partition (docs/failure-modes.md).
 struct MachineReachability {
     std::optional<TimePoint> first_heartbeat_at;  // in this term
     // Its messages arrive, and by all signs none of ours does.
--- a/src/core/cluster/machine_inventory.hpp
+++ b/src/core/cluster/machine_inventory.hpp
@@ -9,7 +9,7 @@
 ///  - The two directions of the network are two facts. A heartbeat proves that the machine's
 ///    messages arrive. That ours arrive is proved only by what could not be there otherwise: a
 ///    fencing token that rose, a command that shows in its next heartbeat, an answered direct call
-///    (docs/troubles.md).
+///    (docs/failure-modes.md).
 ///  - `Machine::assigned_tasks` indexes the jobs' assignments; `JobTable` changes both together.
 #pragma once
 
--- a/src/core/config.hpp
+++ b/src/core/config.hpp
@@ -32,7 +32,7 @@
     double headroom = 1.0;
     // Demand is averaged over about this long.
     Seconds demand_memory{60};
-    fair_share::FloorSettings floors;
+    fair_share::FairShareSettings fair_share_settings;
 
     /// Null: no such team.
     const Team* team(const std::string& name_of_team) const {
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -34,7 +34,7 @@
     inventory_.load_unreadable(name, mod_revision, now);
 }
 
-bool Controller::learn(const JobRecord& record, std::uint64_t mod_revision, TimePoint now) {
+bool Controller::adopt(const JobRecord& record, std::uint64_t mod_revision, TimePoint now) {
     if (knows(record.spec.id)) return false;
     job_table_.adopt(record, mod_revision, now);
     autoscaler_.arrived(record.spec, now);
@@ -57,7 +57,7 @@
     return job && job->record.durable;
 }
 
-bool Controller::found(const std::string& id) const {
+bool Controller::met_existing_record(const std::string& id) const {
     const auto* job = job_table_.find(id);
     return job && job->record.found_in_store;
 }
@@ -114,13 +114,13 @@
     return write_queue_.sent(changes);
 }
 
-void Controller::not_executed(const std::vector<std::string>& terminal_states) {
-    write_queue_.not_executed(terminal_states);
+void Controller::rejected(const std::vector<std::string>& terminal_states) {
+    write_queue_.rejected(terminal_states);
 }
 
-void Controller::written(const std::vector<RecordWrite>& changes, std::uint64_t mod_revision,
-                         TimePoint now) {
-    write_queue_.written(changes, mod_revision, now);
+void Controller::committed(const std::vector<RecordWrite>& changes, std::uint64_t mod_revision,
+                           TimePoint now) {
+    write_queue_.committed(changes, mod_revision, now);
 }
 
 void Controller::set_mod_revision(RecordWrite::Type type, const std::string& id,
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -59,7 +59,7 @@
     }
 
     /// A job that another controller has accepted in this term. False: it was known already.
-    bool learn(const JobRecord& record, std::uint64_t mod_revision, TimePoint now);
+    bool adopt(const JobRecord& record, std::uint64_t mod_revision, TimePoint now);
 
     // Users.
 
@@ -80,7 +80,7 @@
     /// one, that they are cancelled.
     [[nodiscard]] std::set<std::string> jobs_to_end() const { return agents_.jobs_to_end(); }
     /// Whether its acceptance here met a record that was there before.
-    [[nodiscard]] bool found(const std::string& id) const;
+    [[nodiscard]] bool met_existing_record(const std::string& id) const;
     /// Marks a job as cancelled; its record is written next. False: it is done already or unknown.
     bool cancel(const std::string& id, TimePoint now) { return job_table_.cancel(id, now); }
     /// A write met the record of this terminal state in the key-value store.
@@ -88,7 +88,7 @@
         job_table_.finished_by_record(id, terminal_state, now);
     }
     /// The job's first write met a record that another controller had written before.
-    void found_elsewhere(const JobRecord& record, std::uint64_t mod_revision, TimePoint now) {
+    void adopt_existing_record(const JobRecord& record, std::uint64_t mod_revision, TimePoint now) {
         job_table_.adopt_existing_record(record, mod_revision, now);
     }
 
@@ -127,10 +127,10 @@
     /// time; until it is known what became of that, no other state of theirs is answered.
     std::vector<std::string> sent(const std::vector<RecordWrite>& changes);
     /// The only write so far of these jobs' terminal states was certainly not carried out.
-    void not_executed(const std::vector<std::string>& terminal_states);
+    void rejected(const std::vector<std::string>& terminal_states);
     /// They were written, under this mod_revision.
-    void written(const std::vector<RecordWrite>& changes, std::uint64_t mod_revision,
-                 TimePoint now);
+    void committed(const std::vector<RecordWrite>& changes, std::uint64_t mod_revision,
+                   TimePoint now);
     /// The record's mod_revision is another than assumed.
     void set_mod_revision(RecordWrite::Type type, const std::string& id,
                           std::uint64_t mod_revision);
--- a/src/core/scheduling/quota_accounting.cpp
+++ b/src/core/scheduling/quota_accounting.cpp
@@ -67,7 +67,7 @@
         job_shares.push_back(job_share);
         serials.push_back(serial);
     }
-    const auto shares = fair_share::assign_minimum_shares(job_shares, config_.floors);
+    const auto shares = fair_share::assign_minimum_shares(job_shares, config_.fair_share_settings);
     // Guard against starving: within their minimums jobs go by age. By makespan, jobs of a class
     // that is served beyond its minimum most of the time kept a long one of another out at each
     // turn.
--- a/src/core/write_queue.cpp
+++ b/src/core/write_queue.cpp
@@ -103,13 +103,13 @@
     return out;
 }
 
-void WriteQueue::not_executed(const std::vector<std::string>& terminal_states) {
+void WriteQueue::rejected(const std::vector<std::string>& terminal_states) {
     for (const auto& id : terminal_states)
         if (auto* job = job_table_.find(id)) job->terminal.sent = false;
 }
 
-void WriteQueue::written(const std::vector<RecordWrite>& changes, std::uint64_t mod_revision,
-                         TimePoint now) {
+void WriteQueue::committed(const std::vector<RecordWrite>& changes, std::uint64_t mod_revision,
+                           TimePoint now) {
     for (const auto& change : changes) {
         using Type = RecordWrite::Type;
         if (change.type == Type::put_machine) {
--- a/src/core/write_queue.hpp
+++ b/src/core/write_queue.hpp
@@ -42,10 +42,10 @@
     /// time.
     std::vector<std::string> sent(const std::vector<RecordWrite>& changes);
     /// The only write so far of these jobs' terminal states was certainly not carried out.
-    void not_executed(const std::vector<std::string>& terminal_states);
+    void rejected(const std::vector<std::string>& terminal_states);
     /// They were written, under this mod_revision.
-    void written(const std::vector<RecordWrite>& changes, std::uint64_t mod_revision,
-                 TimePoint now);
+    void committed(const std::vector<RecordWrite>& changes, std::uint64_t mod_revision,
+                   TimePoint now);
     /// Until then no job's terminal state is written, and so no user is answered one.
     void hold_terminal_states_until(TimePoint until) { terminal_states_from_ = until; }
     /// The record's mod_revision is another than assumed: an earlier write was carried out
--- a/src/daemon/announcements.cpp
+++ b/src/daemon/announcements.cpp
@@ -28,7 +28,7 @@
 
 void Announcements::yield_if_unreachable() {
     if (!heartbeats_.detect_inbound_unreachable()) return;
-    io::log::info("leadership_yielded", "reason", "agents_reach_peers_only");
+    io::log::info("leadership_yielded", "cause", "agents_reach_peers_only");
     elector_.yield_leadership();
 }
 
--- a/src/daemon/client.cpp
+++ b/src/daemon/client.cpp
@@ -7,6 +7,7 @@
 #include "config/settings_error.hpp"
 #include "io/http_client.hpp"
 #include "wire/cbor.hpp"
+#include "wire/http_status.hpp"
 #include "wire/user_messages.hpp"
 
 namespace bendspindle::daemon {
@@ -28,7 +29,8 @@
     }
     const auto body = wire::parse_cbor(answer->body);
     std::cout << (body ? body->dump() : std::string("{}")) << "\n";
-    if (answer->status == 200 || answer->status == 201) return 0;
+    if (answer->status == wire::http_status::ok || answer->status == wire::http_status::created)
+        return 0;
     std::cerr << "bendspindle: refused with status " << answer->status << "\n";
     return 1;
 }
--- a/src/daemon/http_routes.cpp
+++ b/src/daemon/http_routes.cpp
@@ -3,6 +3,7 @@
 #include <string>
 
 #include "wire/agent_messages.hpp"
+#include "wire/http_status.hpp"
 #include "wire/user_messages.hpp"
 
 namespace bendspindle::daemon {
@@ -41,8 +42,10 @@
 void answer_unserved(const Request& request, httplib::Response& response) {
     if (!response.body.empty()) return;
     // The protocol has one status for bodies that are too large or broken: malformed.
-    if (response.status == 413) response.status = 400;
-    if (response.status == 404 && is_served_otherwise(request)) response.status = 405;
+    if (response.status == wire::http_status::payload_too_large)
+        response.status = wire::http_status::bad_request;
+    if (response.status == wire::http_status::not_found && is_served_otherwise(request))
+        response.status = wire::http_status::method_not_allowed;
     response.set_content(wire::error_body("not served"), content_type);
 }
 
@@ -50,7 +53,8 @@
 
 void add_routes(io::HttpServer& http, HttpHandlers handlers) {
     http.Get(wire::path::health, [handlers](const Request&, httplib::Response& response) {
-        response.status = handlers.health.healthy() ? 200 : 503;
+        response.status = handlers.health.healthy() ? wire::http_status::ok
+                                                    : wire::http_status::service_unavailable;
     });
     http.Post(wire::path::work, [handlers](const Request& request, httplib::Response& response) {
         send(handlers.submission.handle(request.body), response);
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -61,7 +61,7 @@
           const std::string& admission_file) {
     auto settings = config::load_settings(config);
     auto own = config::load_operator_settings(operator_file);
-    own.floors = config::load_fair_share_settings(admission_file, settings);
+    own.fair_share_settings = config::load_fair_share_settings(admission_file, settings);
     fit_small_machines(own);
     set_up_logging(own);
     daemon::catch_stop_signals();
--- a/src/daemon/service.cpp
+++ b/src/daemon/service.cpp
@@ -79,7 +79,7 @@
     add_routes(http, {job_submission_, job_status_, job_cancellation_, heartbeats_, health_});
     io::PeerServer peer_server(
         [this](const auto& request) { return peer_requests_.handle(request); },
-        [](const auto& reason) { io::log::info("peer_refused", "reason", reason); });
+        [](const auto& reason) { io::log::info("peer_refused", "cause", reason); });
     if (!http.bind(settings_.listen.host, settings_.listen.port)) {
         io::log::error("bind_failed", "setting", "listen");
         return false;
--- a/src/fair_share/makespan_stretch.hpp
+++ b/src/fair_share/makespan_stretch.hpp
@@ -5,7 +5,7 @@
 /// counted as short, held everything for minutes, and most jobs of its class came late. Reckoned on
 /// an even part of what is left to its rank, a pipeline lasts as many times longer as its tasks
 /// exceed that part. Where everything fits, nothing is stretched and the order is DSMF's own.
-/// docs/admission.md, "Order under overload".
+/// docs/fair-share.md, "Order under overload".
 #pragma once
 
 #include <map>
--- a/src/fair_share/minimum_share.cpp
+++ b/src/fair_share/minimum_share.cpp
@@ -21,8 +21,8 @@
 class PartyShares {
   public:
     PartyShares(const std::vector<JobShare>& jobs, std::string_view JobShare::*name,
-                const std::map<std::string, double>& weights, const FloorSettings& settings)
-        : jobs_(jobs), name_(name), patience_(settings.patience) {
+                const std::map<std::string, double>& weights, const FairShareSettings& settings)
+        : jobs_(jobs), name_(name), patience_(settings.starvation_timeout) {
         double sum = 0;
         for (const auto& job : jobs) {
             auto it = parties_.find(job.*name);
@@ -36,7 +36,7 @@
             it->second.starving |= waits(job);
         }
         for (auto& [key, party] : parties_)
-            party.minimum = sum > 0 ? settings.whole * party.weight / sum : 0;
+            party.minimum = sum > 0 ? settings.total_share * party.weight / sum : 0;
     }
 
     // What runs counts first, so that a minimum that is filled by running work asks for no more. A
@@ -86,11 +86,11 @@
 }  // namespace
 
 MinimumShareResult assign_minimum_shares(const std::vector<JobShare>& oldest_first,
-                                         const FloorSettings& settings) {
+                                         const FairShareSettings& settings) {
     MinimumShareResult out;
     out.jobs.assign(oldest_first.size(), false);
     out.class_protected = out.team_protected = out.jobs;
-    if (settings.whole <= 0) return out;
+    if (settings.total_share <= 0) return out;
     PartyShares classes(oldest_first, &JobShare::job_class, settings.class_weights, settings);
     PartyShares teams(oldest_first, &JobShare::team, settings.team_weights, settings);
     classes.mark(out.jobs, out.class_protected);
--- a/src/fair_share/minimum_share.hpp
+++ b/src/fair_share/minimum_share.hpp
@@ -8,7 +8,7 @@
 /// first, oldest first, until the minimum is filled; what was started within a minimum is not
 /// preempted, nor, while it starves, what a class or team runs within its minimum for other classes
 /// or teams (preemption protection). Below that wait, and beyond the minimum, the order stays as it
-/// is. docs/admission.md has the bound that follows, and its proof.
+/// is. docs/fair-share.md has the bound that follows, and its proof.
 #pragma once
 
 #include <chrono>
@@ -21,10 +21,10 @@
 namespace bendspindle::fair_share {
 
 /// The operators' choice.
-struct FloorSettings {
+struct FairShareSettings {
     // Part of the machines that all minimums together may take; 0: no minimums.
-    double whole = 0.5;
-    std::chrono::duration<double> patience{60};  // starvation timeout
+    double total_share = 0.5;
+    std::chrono::duration<double> starvation_timeout{60};  // starvation timeout
     // Weights of those that are not named are 1.
     std::map<std::string, double> class_weights;
     std::map<std::string, double> team_weights;
@@ -54,6 +54,6 @@
 
 /// `oldest_first`: in the order in which their minimums are to be filled.
 [[nodiscard]] MinimumShareResult assign_minimum_shares(const std::vector<JobShare>& oldest_first,
-                                                       const FloorSettings& settings);
+                                                       const FairShareSettings& settings);
 
 }  // namespace bendspindle::fair_share
--- a/src/leadership/agent_lease_policy.hpp
+++ b/src/leadership/agent_lease_policy.hpp
@@ -4,8 +4,8 @@
 /// A confirmed cancellation starts a deadline that no outage suspends. Whichever controllers are
 /// alive, an agent whose lease expires stops its tasks, `lease_s` after the lease was last renewed.
 /// So only a controller that knows all confirmed cancellations, and orders the stops in the same
-/// response, renews a lease; or one that knew them at most `renewal_bound` ago (docs/troubles.md,
-/// "What a confirmed cancellation needs"). Rule kept: ran_cancelled.
+/// response, renews a lease; or one that knew them at most `renewal_bound` ago
+/// (docs/failure-modes.md, "What a confirmed cancellation needs"). Rule kept: ran_cancelled.
 ///
 /// `LeadershipProof` (leadership_proof.hpp) applies this at the leader, `CancellationReplica`
 /// (cancellation_replica.hpp) at a follower. Everything here is pure and safe from any thread.
--- a/src/leadership/cancellation_replication.cpp
+++ b/src/leadership/cancellation_replication.cpp
@@ -4,6 +4,8 @@
 #include <set>
 #include <utility>
 
+#include "wire/http_status.hpp"
+
 namespace bendspindle::leadership {
 
 namespace {
@@ -11,9 +13,9 @@
 using std::chrono::milliseconds;
 
 // Statuses between controllers.
-constexpr int ok = 200;
-constexpr int not_leading = 421;
-constexpr int knows_no_term = 503;
+constexpr int ok = wire::http_status::ok;
+constexpr int not_leading = wire::http_status::misdirected;
+constexpr int knows_no_term = wire::http_status::service_unavailable;
 
 }  // namespace
 
--- a/src/leadership/cancellation_replication.hpp
+++ b/src/leadership/cancellation_replication.hpp
@@ -1,5 +1,5 @@
 /// What controllers exchange so that a confirmed cancellation ends its tasks whichever controller
-/// is lost (docs/troubles.md, "What a confirmed cancellation needs").
+/// is lost (docs/failure-modes.md, "What a confirmed cancellation needs").
 ///
 ///  - The leader announces its term to its peers, and each job that it is about to confirm as
 ///    cancelled. Once its lease in the key-value store is no longer valid it asks them whether they
--- a/src/leadership/election.hpp
+++ b/src/leadership/election.hpp
@@ -5,8 +5,8 @@
 /// renew again. Waiting for that lease to expire was all that stood between the restart and
 /// leading: 3 to 4 s in which nothing new started. So it reclaims the leadership: it puts its own
 /// key over the former one by compare-and-swap, under a newer term, as any follower does once the
-/// key is gone. docs/acceptance.md argues why two processes by one name, a stalled twin and late
-/// writes do no harm.
+/// key is gone. docs/service-levels.md argues why two processes by one name, a stalled twin and
+/// late writes do no harm.
 #pragma once
 
 #include <cstdint>
--- a/src/state/http_key_value_store.cpp
+++ b/src/state/http_key_value_store.cpp
@@ -1,5 +1,7 @@
 #include "state/http_key_value_store.hpp"
 
+#include "wire/http_status.hpp"
+
 namespace bendspindle::state {
 
 namespace {
@@ -17,21 +19,21 @@
 StoreStatus HttpKeyValueStore::status_of(const std::optional<io::HttpAnswer>& answer) {
     if (!answer) return StoreStatus::unknown;
     switch (answer->status) {
-        case 200:
+        case wire::http_status::ok:
             last_success_ = Clock::now();
             return StoreStatus::ok;
-        case 404:
+        case wire::http_status::not_found:
             last_success_ = Clock::now();
             return StoreStatus::absent;
-        case 409:
+        case wire::http_status::conflict:
             last_success_ = Clock::now();
             return StoreStatus::conflict;
-        case 400:
+        case wire::http_status::bad_request:
             return StoreStatus::invalid;
-        case 410:
+        case wire::http_status::gone:
             return StoreStatus::too_old;
-        case 429:
-        case 503:
+        case wire::http_status::too_many_requests:
+        case wire::http_status::service_unavailable:
             return StoreStatus::refused;
         default:
             return StoreStatus::unknown;
--- a/src/state/job_watch.cpp
+++ b/src/state/job_watch.cpp
@@ -63,7 +63,7 @@
         // ReadConsistencySmallCache.ALateWatchEventRestartsNoEndedJob).
         if (!record || !record->home.empty()) continue;
         if (!cursor.is_new(record->spec.id, entry.mod_revision)) continue;
-        any_adopted |= controller->learn(*record, entry.mod_revision, Clock::now());
+        any_adopted |= controller->adopt(*record, entry.mod_revision, Clock::now());
     }
     cursor.reached(revision);
     if (any_adopted) access.request_placement();
--- a/src/state/leader_loader.cpp
+++ b/src/state/leader_loader.cpp
@@ -21,7 +21,7 @@
     const auto machine = wire::parse_machine_record(name, entry.value);
     // Guard against no leader for ever: one record that could not be read kept each controller in
     // turn from loading. A machine without a readable record is released once its agent reports
-    // (`MachineInventory::watch`); its record stays as it is.
+    // (`MachineInventory::update_health`); its record stays as it is.
     if (!machine) {
         io::log::error("record_quarantined", "key", entry.key);
         controller.load_unreadable_machine(name, entry.mod_revision, now);
--- a/src/state/state_writer.cpp
+++ b/src/state/state_writer.cpp
@@ -174,7 +174,7 @@
     if (controller == nullptr) return;
     for (const auto& write : batch.writes)
         if (write.type == Type::finish_job) access.job_watch_cursor().ended(write.id, revision);
-    controller->written(batch.writes, revision, Clock::now());
+    controller->committed(batch.writes, revision, Clock::now());
     access.notify_committed();
     access.request_placement();
 }
@@ -184,7 +184,7 @@
 void StateWriter::resolve_rejected(const Batch& batch) {
     const auto access = leader_state_.lock();
     if (auto* const controller = access.controller_of(batch.term))
-        controller->not_executed(batch.terminal_states);
+        controller->rejected(batch.terminal_states);
 }
 
 // Guard against a standstill of all writing: one record that the store calls malformed, too large
@@ -212,7 +212,7 @@
 // or another controller is the leader. Each record in question is read and reconciled.
 void StateWriter::reconcile_conflict(const Batch& batch, const CasResult& result) {
     if (failed(result, keys::leader)) {
-        io::log::info("write_rejected", "reason", "another_leader");
+        io::log::info("write_rejected", "cause", "another_leader");
         std::this_thread::sleep_for(longest_pause);
         return;
     }
@@ -260,8 +260,8 @@
         access.job_watch_cursor().ended(write.id, stored.terminal_mod_revision);
         controller->finished_by_record(write.id, *stored.terminal_state, Clock::now());
     } else if (stored.admitted_by_follower) {
-        controller->found_elsewhere(*stored.admitted_by_follower, stored.mod_revision,
-                                    Clock::now());
+        controller->adopt_existing_record(*stored.admitted_by_follower, stored.mod_revision,
+                                          Clock::now());
     } else {
         controller->set_mod_revision(write.type, write.id, stored.mod_revision);
     }
--- a/src/wire/cloud.cpp
+++ b/src/wire/cloud.cpp
@@ -70,7 +70,7 @@
                          {"number", request.count}});
 }
 
-std::optional<std::vector<std::string>> parse_rented(std::string_view body) {
+std::optional<std::vector<std::string>> parse_scale_out_response(std::string_view body) {
     return parse_fields(body, [](const Fields& fields) { return fields.texts("spindles"); });
 }
 
--- a/src/wire/cloud.hpp
+++ b/src/wire/cloud.hpp
@@ -23,7 +23,7 @@
 std::optional<std::vector<core::MachineType>> parse_catalog(std::string_view body);
 std::string rent_body(const core::ScaleOutRequest& request);
 /// The names of the new machines; there may be fewer of them than were asked for.
-std::optional<std::vector<std::string>> parse_rented(std::string_view body);
+std::optional<std::vector<std::string>> parse_scale_out_response(std::string_view body);
 std::string release_body(const std::vector<std::string>& names);
 
 /// One page of the machine list.
--- a/src/wire/http_status.hpp
+++ b/src/wire/http_status.hpp
@@ -10,10 +10,12 @@
 inline constexpr int not_found = 404;
 inline constexpr int method_not_allowed = 405;
 inline constexpr int conflict = 409;
+inline constexpr int gone = 410;
 inline constexpr int payload_too_large = 413;
 /// This controller does not lead; the body may name the one that does.
 inline constexpr int misdirected = 421;
 inline constexpr int unprocessable = 422;
+inline constexpr int too_many_requests = 429;
 /// Nothing is known or done now; the same request may be repeated.
 inline constexpr int service_unavailable = 503;
 
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -137,7 +137,7 @@
         parse_job(bytes);
         parse_heartbeat(bytes);
         parse_catalog(bytes);
-        parse_rented(bytes);
+        parse_scale_out_response(bytes);
         parse_list(bytes);
         parse_entry(bytes);
         parse_entries(bytes);
--- a/tests/fair_share_test.cpp
+++ b/tests/fair_share_test.cpp
@@ -41,7 +41,7 @@
 }
 
 TEST(MinimumShare, NobodyGoesFirstBeforeTheStarvationTimeout) {
-    const FloorSettings settings;
+    const FairShareSettings settings;
     const auto shares = assign_minimum_shares(
         {waiting("a", "t", 0.1, 59), running("b", "t", 1), waiting("b", "t", 1, 30)}, settings);
     EXPECT_EQ(shares.jobs, (std::vector<bool>{false, false, false}));
@@ -52,7 +52,7 @@
     const auto shares =
         assign_minimum_shares({waiting("a", "t", 0.2, 90), waiting("a", "t", 0.2, 80),
                                waiting("a", "t", 0.2, 70), running("b", "t", 1)},
-                              FloorSettings{});
+                              FairShareSettings{});
     // Half of all for two classes: a quarter; the job that reaches it is taken whole.
     EXPECT_EQ(shares.jobs, (std::vector<bool>{true, true, false, false}));
     EXPECT_DOUBLE_EQ(shares.behind_classes.at("a"), 0.25);
@@ -61,7 +61,7 @@
 TEST(MinimumShare, WhatRunsCountsTowardsTheMinimum) {
     const auto shares = assign_minimum_shares(
         {running("a", "t", 0.3), waiting("a", "t", 0.2, 80), running("b", "t", 0.7)},
-        FloorSettings{});
+        FairShareSettings{});
     EXPECT_EQ(shares.jobs, (std::vector<bool>{false, false, false}));
     // While its class starves, that is not preempted for other classes.
     EXPECT_EQ(shares.class_protected, (std::vector<bool>{true, false, false}));
@@ -70,24 +70,24 @@
 TEST(MinimumShare, WhatWasStartedWithinAMinimumKeepsItsProtection) {
     auto kept = running("a", "t", 0.2);
     kept.kept = true;
-    const auto shares = assign_minimum_shares({kept, running("b", "t", 0.8)}, FloorSettings{});
+    const auto shares = assign_minimum_shares({kept, running("b", "t", 0.8)}, FairShareSettings{});
     EXPECT_EQ(shares.jobs, (std::vector<bool>{true, false}));
 }
 
 TEST(MinimumShare, WeightsDecideAndOneAloneHasNone) {
-    FloorSettings settings;
+    FairShareSettings settings;
     settings.class_weights["a"] = 3;
     const std::vector<JobShare> both{waiting("a", "t", 0.3, 90), waiting("a", "t", 0.3, 90),
                                      running("b", "t", 1)};
     EXPECT_EQ(assign_minimum_shares(both, settings).jobs, (std::vector<bool>{true, true, false}));
     EXPECT_EQ(assign_minimum_shares({waiting("a", "t", 0.3, 90)}, settings).jobs,
               (std::vector<bool>{false}));
-    settings.whole = 0;
+    settings.total_share = 0;
     EXPECT_EQ(assign_minimum_shares(both, settings).jobs, (std::vector<bool>{false, false, false}));
 }
 
-// The claims of docs/admission.md, for random loads: whoever starves is marked up to its minimum or
-// whole; and what is marked beyond the minimums is one job for each class and team at most.
+// The claims of docs/fair-share.md, for random loads: whoever starves is marked up to its minimum
+// or whole; and what is marked beyond the minimums is one job for each class and team at most.
 TEST(MinimumShare, FillsTheMinimumOfWhoeverStarvesAndNoMore) {
     std::mt19937 draw(17);
     const auto below = [&](unsigned n) { return draw() % n; };
@@ -103,7 +103,7 @@
             job.kept = job.used > 0 && below(4) == 0;
             largest = std::max(largest, job.used + job.waiting);
         }
-        const FloorSettings settings;
+        const FairShareSettings settings;
         const auto shares = assign_minimum_shares(jobs, settings);
         double marked = 0;
         std::map<std::string_view, double> served;
@@ -114,14 +114,16 @@
             ++parties[jobs[i].job_class];
             if (shares.jobs[i]) marked += share;
             if (shares.jobs[i] || jobs[i].used > 0) served[jobs[i].job_class] += share;
-            if (!shares.jobs[i] && jobs[i].waiting > 0 && jobs[i].waited >= settings.patience)
+            if (!shares.jobs[i] && jobs[i].waiting > 0 &&
+                jobs[i].waited >= settings.starvation_timeout)
                 left_out[jobs[i].job_class] = true;
         }
         if (parties.size() < 2) continue;
         for (const auto& [name, some] : left_out)
-            EXPECT_GE(served[name] + 1e-9, settings.whole / static_cast<double>(parties.size()))
+            EXPECT_GE(served[name] + 1e-9,
+                      settings.total_share / static_cast<double>(parties.size()))
                 << name;
-        EXPECT_LE(marked, 2 * settings.whole + 7 * largest);
+        EXPECT_LE(marked, 2 * settings.total_share + 7 * largest);
     }
 }
 
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -177,7 +177,8 @@
 TEST(Golden, CloudCalls) {
     expect_golden("rent", rent_body({"r-1", "g8", "a", true, 3}));
     expect_golden("release", release_body({"n-1", "n-2"}));
-    EXPECT_EQ(parse_rented(golden("release")), (std::vector<std::string>{"n-1", "n-2"}));
+    EXPECT_EQ(parse_scale_out_response(golden("release")),
+              (std::vector<std::string>{"n-1", "n-2"}));
 }
 
 TEST(Golden, CloudCatalog) {
--- a/tests/leader_changes_test.cpp
+++ b/tests/leader_changes_test.cpp
@@ -182,7 +182,7 @@
     return std::to_string(time).substr(0, 5) + " ";
 }
 
-// Type was cancelled hangs for most of its lease; leader after leader ends just as it goes on.
+// What was cancelled hangs for most of its lease; leader after leader ends just as it goes on.
 Lines drawn_storm(Draw& draw, int controllers) {
     Lines out;
     const double from = draw.between(15, 40);
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -125,8 +125,8 @@
     };
     const auto floors = load_fair_share_settings(
         write("((floors 0.4) (patience-s 20) (class scan 2) (team red 3)) ; all"), settings);
-    EXPECT_DOUBLE_EQ(floors.whole, 0.4);
-    EXPECT_DOUBLE_EQ(floors.patience.count(), 20);
+    EXPECT_DOUBLE_EQ(floors.total_share, 0.4);
+    EXPECT_DOUBLE_EQ(floors.starvation_timeout.count(), 20);
     EXPECT_DOUBLE_EQ(floors.class_weights.at("scan"), 2);
     EXPECT_DOUBLE_EQ(floors.team_weights.at("red"), 3);
     for (const auto& [text, said] : std::map<std::string, std::string>{
@@ -144,14 +144,14 @@
 TEST_F(SettingsFile, TheShippedAdmissionFileHoldsTheDefaults) {
     const auto floors =
         load_fair_share_settings(std::string(SOURCE_DIR) + "/deploy/admission.sexp", Settings{});
-    const fair_share::FloorSettings defaults;
-    EXPECT_DOUBLE_EQ(floors.whole, defaults.whole);
-    EXPECT_DOUBLE_EQ(floors.patience.count(), defaults.patience.count());
+    const fair_share::FairShareSettings defaults;
+    EXPECT_DOUBLE_EQ(floors.total_share, defaults.total_share);
+    EXPECT_DOUBLE_EQ(floors.starvation_timeout.count(), defaults.starvation_timeout.count());
     EXPECT_TRUE(floors.class_weights.empty() && floors.team_weights.empty());
 }
 
 TEST_F(SettingsFile, WithoutAnAdmissionFileThereAreNoFloors) {
-    EXPECT_DOUBLE_EQ(load_fair_share_settings("", Settings{}).whole, 0);
+    EXPECT_DOUBLE_EQ(load_fair_share_settings("", Settings{}).total_share, 0);
 }
 
 TEST(MostConnections, WhatIsScarceDecides) {
--- a/tests/standin/leader_change_simulation.cpp
+++ b/tests/standin/leader_change_simulation.cpp
@@ -270,7 +270,7 @@
                 read_back(changes, term, cas_result.failed);
             } else {
                 if (cas_result.outcome != StoreStatus::unknown && same(term))
-                    controller()->not_executed(terminal_states_sent);
+                    controller()->rejected(terminal_states_sent);
                 timeline_.wait(Seconds{0.15 + 0.3 * world_.below_one()});
             }
         }
@@ -308,7 +308,7 @@
         for (const auto& change : changes)
             if (change.type == core::RecordWrite::Type::finish_job)
                 terminal_states.put(change.id, change.job.terminal_state);
-        if (same(term)) controller()->written(changes, revision, timeline_.now());
+        if (same(term)) controller()->committed(changes, revision, timeline_.now());
         leader_state.lock().request_placement();
     }
 
@@ -636,7 +636,7 @@
         std::shared_ptr<Timeline::Signal> done = std::make_shared<Timeline::Signal>();
     };
     const auto exchange = std::make_shared<Exchange>();
-    // Type a cut holds arrives once it is over.
+    // What a cut holds arrives once it is over.
     const auto arrive = [=, this](const auto& again) -> void {
         if (target->life->over) return;
         if (cut(from, to)) {
@@ -813,7 +813,7 @@
     }
 }
 
-// Type a machine that hangs or is cut off cannot take now arrives later.
+// What a machine that hangs or is cut off cannot take now arrives later.
 void LeaderChangeSimulation::deliver_call(const std::shared_ptr<TermsNode>& from,
                                           const core::DirectCommand& call) {
     const auto settled = std::make_shared<bool>(false);
--- a/tests/standin/simulated_cluster_scenario.cpp
+++ b/tests/standin/simulated_cluster_scenario.cpp
@@ -87,8 +87,8 @@
         {"headroom", [](Cluster& c, const Arguments& a) { c.config_.headroom = a.number_at(1); }},
         {"minimum-shares",
          [](Cluster& c, const Arguments& a) {
-             c.config_.floors.whole = a.number_at(1);
-             c.config_.floors.patience = Seconds(a.number_at(2));
+             c.config_.fair_share_settings.total_share = a.number_at(1);
+             c.config_.fair_share_settings.starvation_timeout = Seconds(a.number_at(2));
          }},
         {"keep-idle",
          [](Cluster& c, const Arguments& a) { c.config_.idle_return = Seconds(a.number_at(1)); }},
@@ -269,7 +269,7 @@
 
 void SimulatedCluster::adopt_jobs() {
     for (const auto& [id, record] : jobs_)
-        if (record.first.home.empty()) controller_->learn(record.first, record.second, at());
+        if (record.first.home.empty()) controller_->adopt(record.first, record.second, at());
 }
 
 // One-task jobs, several a second; of these each so-manieth is cancelled a little later.
--- a/tests/standin/simulated_cluster_store.cpp
+++ b/tests/standin/simulated_cluster_store.cpp
@@ -24,7 +24,7 @@
     if (changes.empty()) return;
     const auto terminal_states = controller_->sent(changes);
     if (writes_ == Writes::refused) {
-        controller_->not_executed(terminal_states);
+        controller_->rejected(terminal_states);
         return;
     }
     const bool answered = writes_ != Writes::unanswered;
@@ -53,7 +53,7 @@
         }
         const bool answer_arrives =
             transaction.answered && controller_ && transaction.term == term_;
-        if (answer_arrives && holds) controller_->written(transaction.changes, revision_, at());
+        if (answer_arrives && holds) controller_->committed(transaction.changes, revision_, at());
         if (answer_arrives && !holds)
             for (const auto& change : transaction.changes) reconcile_conflict(change);
     }
@@ -115,7 +115,7 @@
     }
     const auto it = jobs_.find(change.id);
     if (change.type == Type::put_job && it != jobs_.end() && it->second.first.home.empty()) {
-        controller_->found_elsewhere(it->second.first, it->second.second, at());
+        controller_->adopt_existing_record(it->second.first, it->second.second, at());
         return;
     }
     controller_->set_mod_revision(change.type, change.id,
--- a/tests/state_writer_test.cpp
+++ b/tests/state_writer_test.cpp
@@ -123,18 +123,18 @@
     config.teams = {{"red", {}, {}}};
     core::Controller controller(config, 3);
     controller.accept(job("job-9"), core::WallTime{}, Clock::now());
-    controller.written(controller.changes(8, Clock::now()), 5, Clock::now());
+    controller.committed(controller.changes(8, Clock::now()), 5, Clock::now());
     ASSERT_TRUE(controller.status("job-9"));
     controller.cancel("job-9", Clock::now());
     const auto first = controller.sent(controller.changes(8, Clock::now()));
     EXPECT_FALSE(controller.status("job-9"));
-    controller.not_executed(first);
+    controller.rejected(first);
     ASSERT_TRUE(controller.status("job-9"));
     // After one that got no answer a refused repeat proves nothing.
     controller.sent(controller.changes(8, Clock::now()));
-    controller.not_executed(controller.sent(controller.changes(8, Clock::now())));
+    controller.rejected(controller.sent(controller.changes(8, Clock::now())));
     EXPECT_FALSE(controller.status("job-9"));
-    controller.written(controller.changes(8, Clock::now()), 6, Clock::now());
+    controller.committed(controller.changes(8, Clock::now()), 6, Clock::now());
     EXPECT_FALSE(controller.knows("job-9"));
 }
 
@@ -213,7 +213,7 @@
     access.request_write();
     ASSERT_TRUE(
         access.wait_for_commit(10s, [&] { return access.controller()->durable("job-11"); }));
-    EXPECT_TRUE(access.controller()->found("job-11"));
+    EXPECT_TRUE(access.controller()->met_existing_record("job-11"));
     ASSERT_EQ(access.controller()->jobs().size(), 1U);
     EXPECT_EQ(access.controller()->jobs().begin()->second->spec.tasks, first.spec.tasks);
     access.remove_controller();
