--- a/tests/leader_changes_test.cpp
+++ b/tests/leader_changes_test.cpp
@@ -403,7 +403,7 @@
     EXPECT_EQ(desk_.heartbeat(body, agents::RequestOrigin::client).status, 503);
 }
 
-TEST(Terms, WithoutTroublesWorkRunsAndCancellationsEndIt) {
+TEST(LeaderChanges, WithoutTroublesWorkRunsAndCancellationsEndIt) {
     TermsSetting setting;
     const auto out = expect_kept(setting, {"20 cancel 5"});
     EXPECT_EQ(out.confirmed, 5);
@@ -415,7 +415,7 @@
 
 // Found on a day with many leaders: one that had confirmed ended, its machines hung, and six terms
 // followed within 35 s. Each leader's first answer to a machine renewed its lease without a stop.
-TEST(Terms, ManyLeadersAfterACancellation) {
+TEST(LeaderChanges, ManyLeadersAfterACancellation) {
     for (unsigned seed = 1; seed <= 20; ++seed) {
         TermsSetting setting;
         setting.seed = seed;
@@ -431,7 +431,7 @@
     }
 }
 
-TEST(Terms, Drawn) {
+TEST(LeaderChanges, RandomSchedules) {
     unsigned first = 1;
     unsigned count = 200;
     if (const char* given = std::getenv("BENDSPINDLE_TERMS")) {
