--- a/tests/layout_test.cpp
+++ b/tests/layout_test.cpp
@@ -5,9 +5,9 @@
 #include <filesystem>
 #include <fstream>
 #include <map>
-#include <regex>
 #include <set>
 #include <sstream>
+#include <string_view>
 
 namespace {
 
@@ -33,13 +33,25 @@
             EXPECT_EQ(text_of(file).find(word), std::string::npos) << file << " holds " << word;
 }
 
-// The first directory of each file that is included by its path below src.
+// The paths, below src, of what a file includes of the project.
+std::vector<fs::path> paths_included_by(const fs::path& file) {
+    constexpr std::string_view directive = "#include \"";
+    std::vector<fs::path> paths;
+    std::istringstream text(text_of(file));
+    for (std::string line; std::getline(text, line);) {
+        if (!line.starts_with(directive)) continue;
+        const auto end = line.find('"', directive.size());
+        const fs::path path = line.substr(directive.size(), end - directive.size());
+        EXPECT_TRUE(path.has_parent_path())
+            << file << " includes " << path << " without its directory";
+        paths.push_back(path);
+    }
+    return paths;
+}
+
 std::set<std::string> directories_included_by(const fs::path& file) {
-    static const std::regex include("#include \"([a-z_]+)/");
-    const auto text = text_of(file);
     std::set<std::string> found;
-    for (std::sregex_iterator it(text.begin(), text.end(), include), end; it != end; ++it)
-        found.insert((*it)[1]);
+    for (const auto& path : paths_included_by(file)) found.insert(path.begin()->string());
     return found;
 }
 
@@ -88,13 +100,10 @@
     return path_below_core.stem() == "config" ? "config" : "top";
 }
 
-// Each file's modules of the core that it includes by path.
 std::set<std::string> core_modules_included_by(const fs::path& file) {
-    static const std::regex include("#include \"core/([a-z_/]+)\\.hpp\"");
-    const auto text = text_of(file);
     std::set<std::string> found;
-    for (std::sregex_iterator it(text.begin(), text.end(), include), end; it != end; ++it)
-        found.insert(core_module_of((*it)[1].str()));
+    for (const auto& path : paths_included_by(file))
+        if (*path.begin() == "core") found.insert(core_module_of(fs::relative(path, "core")));
     return found;
 }
 
