--- /dev/null
+++ b/tests/alone_test.cpp
@@ -0,0 +1,111 @@
+// One real controller that reaches neither its state service nor any other controller: the status
+// codes and the Retry-After header that users, workers and the load balancer see.
+#include <gtest/gtest.h>
+#include <httplib.h>
+#include <signal.h>
+#include <spawn.h>
+#include <sys/wait.h>
+#include <unistd.h>
+
+#include <filesystem>
+#include <fstream>
+#include <thread>
+
+#include "wire/users.hpp"
+#include "wire/workers.hpp"
+
+namespace bendspindle {
+namespace {
+
+using namespace std::chrono_literals;
+
+class ControllerAlone : public testing::Test {
+  protected:
+    void SetUp() override {
+        file_ = (std::filesystem::temp_directory_path() /
+                 ("bendspindle-alone-" + std::to_string(::getpid())))
+                    .string();
+        const auto address = [](int port) { return "127.0.0.1:" + std::to_string(port); };
+        const wire::Value settings{
+            {"node_name", "c0"},
+            {"domain", "a"},
+            {"listen", address(port_)},
+            {"internal_addr", address(port_ + 1)},
+            {"siblings", wire::Value::array()},
+            {"external", {{"state", address(1)}, {"cloud", address(1)}}},
+            {"deployment",
+             {{"zones", {"a"}},
+              {"teams", wire::Value::array()},
+              {"objectives", wire::Value::array()},
+              {"workers",
+               {{"report_s", 1.0},
+                {"lease_s", 30.0},
+                {"gang_wait_s", 30.0},
+                {"gang_peer_s", 4.0},
+                {"cancel_s", 30.0}}},
+              {"state", {{"rps", 50.0}, {"write_rps", 30.0}, {"value_kb", 32.0}, {"txn_ops", 12}}},
+              {"cloud", {{"rps", 2.0}, {"list_lag_s", 1.0}}},
+              {"resources", {{"mem_mb", 500.0}, {"max_sockets", 500}}}}}};
+        std::ofstream(file_) << settings.dump();
+        std::vector<std::string> words{PROGRAM, "serve", "--config", file_};
+        std::vector<char*> argv;
+        for (auto& word : words) argv.push_back(word.data());
+        argv.push_back(nullptr);
+        ASSERT_EQ(::posix_spawn(&pid_, PROGRAM, nullptr, nullptr, argv.data(), environ), 0);
+        client_.set_read_timeout(10s);
+        for (int i = 0; i < 200 && !client_.Get("/healthz"); ++i) std::this_thread::sleep_for(50ms);
+    }
+    void TearDown() override {
+        if (pid_ > 0) {
+            ::kill(pid_, SIGKILL);
+            ::waitpid(pid_, nullptr, 0);
+        }
+        std::filesystem::remove(file_);
+    }
+    // Status, Retry-After and the body as text.
+    static std::string seen(const httplib::Result& result) {
+        if (!result) return "no answer";
+        const auto body = wire::parse_cbor(result->body);
+        return std::to_string(result->status) + " [" + result->get_header_value("Retry-After") +
+               "] " + (body ? body->dump() : result->body);
+    }
+    // The same of a refusal; no Retry-After if `retry_after` is empty.
+    static std::string refusal(int status, const std::string& retry_after, const std::string& why) {
+        return std::to_string(status) + " [" + retry_after + "] {\"error\":\"" + why + "\"}";
+    }
+    std::string get(const std::string& path) { return seen(client_.Get(path)); }
+    std::string post(const std::string& path, const std::string& body) {
+        return seen(client_.Post(path, body, "application/cbor"));
+    }
+
+    const int port_ = 34000 + static_cast<int>(::getpid() % 9000) * 2;
+    httplib::Client client_{"127.0.0.1", port_};
+    pid_t pid_ = -1;
+    std::string file_;
+};
+
+TEST_F(ControllerAlone, AnswersWithTheirStatusCodes) {
+    EXPECT_EQ(get("/healthz"), refusal(503, "", "not served"));
+    EXPECT_EQ(get("/elsewhere"), refusal(404, "", "not served"));
+    EXPECT_EQ(get("/work"), refusal(405, "", "not served"));
+    EXPECT_EQ(get("/checkin"), refusal(405, "", "not served"));
+    EXPECT_EQ(post("/healthz", ""), refusal(405, "", "not served"));
+    EXPECT_EQ(post("/work/job-1", ""), refusal(405, "", "not served"));
+    EXPECT_EQ(post("/work", "nonsense"), refusal(400, "", "the body is not CBOR"));
+    EXPECT_EQ(post("/work", std::string(70'000, '\x81')), refusal(400, "", "not served"));
+    EXPECT_EQ(post("/checkin", "nonsense"), refusal(400, "", "malformed report"));
+    EXPECT_EQ(get("/work/nonsense"), refusal(404, "", "no such job"));
+    EXPECT_EQ(post("/work/nonsense/cancel", ""), refusal(404, "", "no such job"));
+    core::JobSpec spec;
+    spec.id = "job-1";
+    EXPECT_EQ(post("/work", wire::job_body(spec)),
+              refusal(503, "1", "machine types are not known yet"));
+    EXPECT_EQ(get("/work/job-1"), refusal(503, "1", "the state service does not answer"));
+    EXPECT_EQ(post("/work/job-1/cancel", ""), refusal(503, "1", "no controller acts"));
+    core::Report report;
+    report.machine = "n-1";
+    EXPECT_EQ(post("/checkin", wire::report_body(report)), refusal(503, "", "no view"));
+}
+
+}  // namespace
+}  // namespace bendspindle
