--- a/scale/cloud.hpp
+++ b/scale/cloud.hpp
@@ -26,7 +26,7 @@
     void lose(const std::string& name);
 
     const Traffic& traffic() const { return listener_.traffic(); }
-    std::uint64_t rented() const { return rented_; }
+    std::uint64_t scaled_out() const { return rented_; }
     std::uint64_t released() const { return released_; }
 
   private:
--- a/scale/controllers.cpp
+++ b/scale/controllers.cpp
@@ -38,7 +38,7 @@
             {"objectives",
              {{{"kind", "wait"}, {"class", "urgent"}, {"within_s", 8.2}, {"share", 0.9}}}},
             {"workers",
-             {{"report_s", times.report.count()},
+             {{"report_s", times.heartbeat.count()},
               {"lease_s", times.lease.count()},
               {"gang_wait_s", times.gang_wait.count()},
               {"gang_peer_s", times.gang_peer.count()},
--- a/scale/fleet.cpp
+++ b/scale/fleet.cpp
@@ -27,7 +27,7 @@
 }  // namespace
 
 struct WorkerFleet::Member {
-    Member(MachineIdentity identity, core::WorkerTimes times, Workplace& workplace, EventLoop& loop,
+    Member(MachineIdentity identity, core::AgentTimings times, Workplace& workplace, EventLoop& loop,
            std::uint32_t host, TimePoint now)
         : address(host), client(loop, host), worker(std::move(identity), times, workplace, now) {}
 
@@ -39,7 +39,7 @@
     std::size_t controller = 0;
     bool in_flight = false;
     TimePoint last_sent{};
-    TimePoint next_report{};
+    TimePoint next_heartbeat{};
     TimePoint not_before{};
     TimePoint armed = TimePoint::max();
     TimePoint hung_until{};
@@ -82,12 +82,12 @@
     for (const auto& entry : settings_.zones)
         if (entry.name == zone) member->region = entry.region;
     member->controller = static_cast<std::size_t>(number % settings_.controllers.count);
-    member->next_report = core::later(now, between(0, settings_.workers.times.report.count()));
-    member->not_before = member->next_report;
+    member->next_heartbeat = core::later(now, between(0, settings_.workers.times.heartbeat.count()));
+    member->not_before = member->next_heartbeat;
     by_address_[member->address] = member.get();
     auto& placed = *(by_name_[name] = std::move(member));
     placed.worker.on_change([this, &placed] { arm(placed, Clock::now()); });
-    arm(placed, placed.next_report);
+    arm(placed, placed.next_heartbeat);
 }
 
 // Its timers and its client may be under way in the caller; it is kept until the end of the run.
@@ -128,7 +128,7 @@
     const auto it = by_name_.find(name);
     if (it == by_name_.end()) return;
     it->second->worker.restart(Clock::now());
-    it->second->session_seen = it->second->worker.session();
+    it->second->session_seen = it->second->worker.agent_epoch();
     hang(name, time);
 }
 
@@ -151,12 +151,12 @@
     if (member.hung_until > now) return arm(member, member.hung_until);
     auto& worker = member.worker;
     worker.advance(now);
-    if (worker.session() != member.session_seen) {
-        member.session_seen = worker.session();
+    if (worker.agent_epoch() != member.session_seen) {
+        member.session_seen = worker.agent_epoch();
         ++counts_.leases_lost;
     }
     if (!member.in_flight) {
-        auto due = member.next_report;
+        auto due = member.next_heartbeat;
         if (worker.changed()) due = std::min(due, member.last_sent + between_changes);
         due = std::max(due, member.not_before);
         if (due <= now)
@@ -168,36 +168,36 @@
 }
 
 void WorkerFleet::send_report(Member& member, TimePoint now) {
-    const auto& report_s = settings_.workers.times.report;
+    const auto& report_s = settings_.workers.times.heartbeat;
     member.in_flight = true;
     member.last_sent = now;
-    member.next_report =
+    member.next_heartbeat =
         core::later(now, between(report_s.count() * 0.75, report_s.count() * 1.25));
     member.worker.reported();
-    ++counts_.reports;
-    const auto session = member.worker.session();
+    ++counts_.heartbeats;
+    const auto agent_epoch = member.worker.agent_epoch();
     if (member.cut_until > now) {
         loop_.at(now + answer_limit,
-                 [this, &member, now, session] { answered(member, now, session, std::nullopt); });
+                 [this, &member, now, agent_epoch] { answered(member, now, agent_epoch, std::nullopt); });
         return;
     }
     const auto port = settings_.user_port(static_cast<int>(member.controller));
-    const auto body = wire::report_body(member.worker.report());
+    const auto body = wire::heartbeat_body(member.worker.heartbeat());
     member.client.send(static_cast<std::uint16_t>(port),
-                       request_text("POST", wire::path::report, body), answer_limit,
-                       [this, &member, now, session](std::optional<HttpMessage> answer) {
-                           answered(member, now, session, std::move(answer));
+                       request_text("POST", wire::path::heartbeat, body), answer_limit,
+                       [this, &member, now, agent_epoch](std::optional<HttpMessage> answer) {
+                           answered(member, now, agent_epoch, std::move(answer));
                        });
 }
 
-void WorkerFleet::answered(Member& member, TimePoint sent, std::uint64_t session,
+void WorkerFleet::answered(Member& member, TimePoint sent, std::uint64_t agent_epoch,
                            std::optional<HttpMessage> answer) {
     const auto now = Clock::now();
     member.in_flight = false;
     // What reaches a machine that hangs is too old when it goes on.
     if (unreachable(member, now)) answer.reset();
     if (answer && answer->status == 200) {
-        accepted(member, sent, session, *answer);
+        accepted(member, sent, agent_epoch, *answer);
     } else if (answer && answer->status == 421) {
         ++counts_.redirected;
         const auto body = wire::parse_cbor(answer->body);
@@ -217,7 +217,7 @@
         if (named != controller_name(i) || to == member.controller) continue;
         member.client.close();
         member.controller = to;
-        member.next_report = member.not_before = core::later(now, between(0, 0.5));
+        member.next_heartbeat = member.not_before = core::later(now, between(0, 0.5));
         return;
     }
     try_next(member, now);
@@ -227,16 +227,16 @@
     member.client.close();
     member.controller =
         (member.controller + 1) % static_cast<std::size_t>(settings_.controllers.count);
-    member.next_report = member.not_before = now + try_again;
+    member.next_heartbeat = member.not_before = now + try_again;
 }
 
-void WorkerFleet::accepted(Member& member, TimePoint sent, std::uint64_t session,
+void WorkerFleet::accepted(Member& member, TimePoint sent, std::uint64_t agent_epoch,
                            const HttpMessage& answer) {
     const auto now = Clock::now();
     member.worker.advance(now);
     latencies_.push_back(core::between(sent, now).count());
     const auto commands = parse_commands(answer.body);
-    if (commands && member.worker.answered(sent, session, *commands, now)) {
+    if (commands && member.worker.answered(sent, agent_epoch, *commands, now)) {
         ++counts_.renewals;
         ++renewals_by_[member.controller];
     } else {
@@ -260,7 +260,7 @@
         status = 404;
     }
     arm(member, now);
-    return std::pair(status, wire::report_body(member.worker.report()));
+    return std::pair(status, wire::heartbeat_body(member.worker.heartbeat()));
 }
 
 FleetCounts WorkerFleet::counts() const {
--- a/scale/fleet.hpp
+++ b/scale/fleet.hpp
@@ -18,7 +18,7 @@
 
 /// What the fleet has sent and got since it began.
 struct FleetCounts {
-    std::uint64_t reports = 0;     // sent
+    std::uint64_t heartbeats = 0;     // sent
     std::uint64_t renewals = 0;    // answered with 200 and accepted
     std::uint64_t dropped = 0;     // answered with 200 under a lower token, or for an old session
     std::uint64_t redirected = 0;  // 421
@@ -65,9 +65,9 @@
     void tick(Member& member);
     void arm(Member& member, TimePoint when);
     void send_report(Member& member, TimePoint now);
-    void answered(Member& member, TimePoint sent, std::uint64_t session,
+    void answered(Member& member, TimePoint sent, std::uint64_t agent_epoch,
                   std::optional<HttpMessage> answer);
-    void accepted(Member& member, TimePoint sent, std::uint64_t session, const HttpMessage& answer);
+    void accepted(Member& member, TimePoint sent, std::uint64_t agent_epoch, const HttpMessage& answer);
     void redirected(Member& member, const std::string& named, TimePoint now);
     void try_next(Member& member, TimePoint now);
     std::optional<std::pair<int, std::string>> serve(const HttpMessage& request,
--- a/scale/measure.cpp
+++ b/scale/measure.cpp
@@ -99,7 +99,7 @@
 void Measure::window(int leader, TimePoint at) {
     const auto now = snapshot();
     const auto seconds = core::between(last_at_, at).count();
-    const auto reports = measured_.fleet.take_latencies();
+    const auto heartbeats = measured_.fleet.take_latencies();
     const auto submissions = measured_.users.take_latencies();
     const auto urgent = measured_.workplace.take_urgent_waits();
     const auto& fleet = now.fleet;
@@ -113,7 +113,7 @@
          {"open_tasks", measured_.users.tasks_open()},
          {"starts_per_s", rate(now.workplace.starts, last_.workplace.starts, seconds)},
          {"jobs_per_s", rate(now.users.accepted, last_.users.accepted, seconds)},
-         {"reports_per_s", rate(fleet.reports, last_.fleet.reports, seconds)},
+         {"reports_per_s", rate(fleet.heartbeats, last_.fleet.heartbeats, seconds)},
          {"direct_calls_per_s", rate(fleet.direct, last_.fleet.direct, seconds)},
          {"reports_failed_per_s", rate(fleet.failed, last_.fleet.failed, seconds)},
          {"report_bytes_per_s", rate(fleet.bytes_in + fleet.bytes_out,
@@ -122,10 +122,10 @@
          {"user_errors_per_s", rate(now.users.errors, last_.users.errors, seconds)},
          {"user_bytes_per_s", rate(now.user_bytes_in + now.user_bytes_out,
                                    last_.user_bytes_in + last_.user_bytes_out, seconds)},
-         {"report_latency", as_json(quantiles(reports))},
+         {"report_latency", as_json(quantiles(heartbeats))},
          {"urgent_wait", as_json(quantiles(urgent))},
          {"controllers", controllers(now, seconds)}});
-    append(reports_, reports);
+    append(heartbeats_, heartbeats);
     append(submissions_, submissions);
     append(urgent_, urgent);
     last_ = now;
@@ -146,7 +146,7 @@
             {"jobs_given_up", last_.users.given_up},
             {"jobs_over", last_.users.over - first_.users.over},
             {"user_errors", last_.users.errors - first_.users.errors},
-            {"reports", fleet.reports - first_.fleet.reports},
+            {"reports", fleet.heartbeats - first_.fleet.heartbeats},
             {"reports_redirected", fleet.redirected - first_.fleet.redirected},
             {"reports_failed", fleet.failed - first_.fleet.failed},
             {"reports_dropped", fleet.dropped - first_.fleet.dropped},
@@ -158,7 +158,7 @@
 json Measure::results() const {
     const auto& rules = last_.workplace;
     return {{"totals", totals()},
-            {"report_latency", as_json(quantiles(reports_))},
+            {"report_latency", as_json(quantiles(heartbeats_))},
             {"submission_latency", as_json(quantiles(submissions_))},
             {"urgent_wait", as_json(quantiles(urgent_))},
             {"rules",
--- a/scale/measure.hpp
+++ b/scale/measure.hpp
@@ -63,7 +63,7 @@
     Snapshot first_;
     Snapshot last_;
     nlohmann::json windows_ = nlohmann::json::array();
-    std::vector<double> reports_;
+    std::vector<double> heartbeats_;
     std::vector<double> submissions_;
     std::vector<double> urgent_;
 };
--- a/scale/run.cpp
+++ b/scale/run.cpp
@@ -82,9 +82,9 @@
 // As the controllers have recorded it. Who answers reports does not tell: followers pass them on.
 void Run::find_leader() {
     const auto recorded = state_.value("view");
-    const auto view = recorded ? wire::parse_view(*recorded) : std::nullopt;
+    const auto view = recorded ? wire::parse_leadership_record(*recorded) : std::nullopt;
     for (int i = 0; view && i < controllers_.count(); ++i)
-        if (view->steward == controller_name(i)) leader_ = i;
+        if (view->leader == controller_name(i)) leader_ = i;
 }
 
 void Run::check() {
@@ -169,7 +169,7 @@
     out.figures["settings"] = json::parse(settings_.text);
     out.figures["faults"] = faults_;
     out.figures["ended_by_itself"] = ended_by_itself_;
-    out.figures["rented"] = cloud_.rented();
+    out.figures["rented"] = cloud_.scaled_out();
     out.figures["released"] = cloud_.released();
     for (const auto& [rule, count] : out.figures["rules"]["broken"].items())
         out.rule_broken = out.rule_broken || count.get<std::uint64_t>() > 0;
--- a/scale/settings.cpp
+++ b/scale/settings.cpp
@@ -111,7 +111,7 @@
     out.count = fields.count("count", 1, most_workers);
     out.size.cpus = fields.number("cpus", 1, 4096);
     out.size.memory_gb = fields.number("memory_gb", 1, 65'536);
-    out.times.report = fields.seconds("report_s", 0.5, 600);
+    out.times.heartbeat = fields.seconds("report_s", 0.5, 600);
     out.times.lease = fields.seconds("lease_s", 1, 3600);
     out.times.gang_wait = fields.seconds("gang_wait_s", 1, 3600);
     out.times.gang_peer = fields.seconds("gang_peer_s", 1, 3600);
--- a/scale/settings.hpp
+++ b/scale/settings.hpp
@@ -34,7 +34,7 @@
 struct WorkerSettings {
     int count = 100;
     core::Resources size;
-    core::WorkerTimes times;
+    core::AgentTimings times;
     Seconds boot{20};
     double fetch_gb_per_s = 1;
 };
--- a/scale/worker.cpp
+++ b/scale/worker.cpp
@@ -13,13 +13,13 @@
 using core::TaskState;
 using wire::Value;
 
-core::Order order_from(const Value& entry) {
-    core::Order order;
+core::TaskCommand order_from(const Value& entry) {
+    core::TaskCommand order;
     const auto verb = entry.at("verb").get<std::string>();
     if (verb == "stop")
-        order.verb = core::Order::Verb::stop;
+        order.verb = core::TaskCommand::Verb::stop;
     else if (verb == "reap")
-        order.verb = core::Order::Verb::forget;
+        order.verb = core::TaskCommand::Verb::acknowledge;
     const auto piece = entry.at("piece").get<std::string>();
     const auto slash = piece.rfind('/');
     order.job = piece.substr(0, slash);
@@ -36,81 +36,81 @@
     if (!parsed || !parsed->is_object()) return std::nullopt;
     try {
         Commands out;
-        if (parsed->contains("baton")) out.token = parsed->at("baton").get<std::uint64_t>();
-        if (parsed->contains("shift")) out.session = parsed->at("shift").get<std::uint64_t>();
+        if (parsed->contains("baton")) out.fencing_token = parsed->at("baton").get<std::uint64_t>();
+        if (parsed->contains("shift")) out.agent_epoch = parsed->at("shift").get<std::uint64_t>();
         if (parsed->contains("orders"))
-            for (const auto& entry : parsed->at("orders")) out.orders.push_back(order_from(entry));
+            for (const auto& entry : parsed->at("orders")) out.commands.push_back(order_from(entry));
         return out;
     } catch (const std::exception&) {
         return std::nullopt;
     }
 }
 
-HollowWorker::HollowWorker(MachineIdentity identity, core::WorkerTimes times, Workplace& workplace,
+HollowWorker::HollowWorker(MachineIdentity identity, core::AgentTimings times, Workplace& workplace,
                            TimePoint now)
     : identity_(std::move(identity)), times_(times), workplace_(workplace), lease_from_(now) {}
 
 HollowWorker::~HollowWorker() = default;
 
-core::Report HollowWorker::report() {
-    core::Report out;
+core::Heartbeat HollowWorker::heartbeat() {
+    core::Heartbeat out;
     out.machine = identity_.name;
     out.address = identity_.address;
     out.type = identity_.type;
     out.zone = identity_.zone;
-    out.session = session_;
-    out.seq = ++seq_;
-    out.token = token_;
+    out.agent_epoch = agent_epoch_;
+    out.sequence = ++seq_;
+    out.fencing_token = token_;
     for (const auto& task : tasks_) out.tasks.push_back(task.seen);
     return out;
 }
 
-bool HollowWorker::answered(TimePoint sent, std::uint64_t session, const Commands& commands,
+bool HollowWorker::answered(TimePoint sent, std::uint64_t agent_epoch, const Commands& commands,
                             TimePoint now) {
-    if (session != session_ || !commands.token || *commands.token < token_) return false;
-    saw_token(*commands.token, now);
+    if (agent_epoch != agent_epoch_ || !commands.fencing_token || *commands.fencing_token < token_) return false;
+    saw_token(*commands.fencing_token, now);
     lease_from_ = std::max(lease_from_, sent);
-    for (const auto& order : commands.orders) execute(order, now);
+    for (const auto& order : commands.commands) execute(order, now);
     return true;
 }
 
 int HollowWorker::direct(const Commands& commands, TimePoint now) {
-    if (!commands.token || !commands.session) return 400;
-    if (*commands.token < token_ || *commands.session != session_) return 409;
-    saw_token(*commands.token, now);
-    for (const auto& order : commands.orders) execute(order, now);
+    if (!commands.fencing_token || !commands.agent_epoch) return 400;
+    if (*commands.fencing_token < token_ || *commands.agent_epoch != agent_epoch_) return 409;
+    saw_token(*commands.fencing_token, now);
+    for (const auto& order : commands.commands) execute(order, now);
     return 200;
 }
 
 // A higher token is a change at most once in half of a lease.
-void HollowWorker::saw_token(std::uint64_t token, TimePoint now) {
-    if (token <= token_) return;
-    token_ = token;
+void HollowWorker::saw_token(std::uint64_t fencing_token, TimePoint now) {
+    if (fencing_token <= token_) return;
+    token_ = fencing_token;
     if (token_counted_ && core::later(*token_counted_, times_.lease / 2) > now) return;
     token_counted_ = now;
     mark_changed();
 }
 
-void HollowWorker::execute(const core::Order& order, TimePoint now) {
+void HollowWorker::execute(const core::TaskCommand& order, TimePoint now) {
     const auto it = std::find_if(tasks_.begin(), tasks_.end(), [&](const Task& task) {
         return task.seen.job == order.job && task.seen.index == order.index &&
                task.seen.attempt == order.attempt;
     });
     const bool known = it != tasks_.end();
     switch (order.verb) {
-        case core::Order::Verb::start:
+        case core::TaskCommand::Verb::start:
             if (!known) start(order, now);
             return;
-        case core::Order::Verb::stop:
+        case core::TaskCommand::Verb::stop:
             if (known && it->seen.state != TaskState::exited) exit(*it, ExitCause::stopped, now);
             return;
-        case core::Order::Verb::forget:
+        case core::TaskCommand::Verb::acknowledge:
             if (known && it->seen.state == TaskState::exited) tasks_.erase(it);
             return;
     }
 }
 
-ExitCause HollowWorker::refusal(const core::Order& order) const {
+ExitCause HollowWorker::refusal(const core::TaskCommand& order) const {
     const auto* job = workplace_.job(order.job);
     if (!job || order.index >= job->spec.tasks) return ExitCause::unknown;
     auto free = identity_.size;
@@ -128,7 +128,7 @@
     return std::max(images_.try_emplace(spec.image, fetched).first->second, now);
 }
 
-void HollowWorker::start(const core::Order& order, TimePoint now) {
+void HollowWorker::start(const core::TaskCommand& order, TimePoint now) {
     Task task;
     task.seen = {order.job,           order.index,     order.attempt,
                  TaskState::fetching, ExitCause::none, false};
@@ -246,7 +246,7 @@
 
 void HollowWorker::restart(TimePoint now) {
     drop_all(now);
-    ++session_;
+    ++agent_epoch_;
     lease_from_ = now;
     mark_changed();
 }
--- a/scale/worker.hpp
+++ b/scale/worker.hpp
@@ -28,9 +28,9 @@
 
 /// Commands with the token that they come under; `session` stands in direct calls only.
 struct Commands {
-    std::optional<std::uint64_t> token;
-    std::optional<std::uint64_t> session;
-    std::vector<core::Order> orders;
+    std::optional<std::uint64_t> fencing_token;
+    std::optional<std::uint64_t> agent_epoch;
+    std::vector<core::TaskCommand> commands;
 };
 
 /// Reads the body of a report's answer or of a direct call; nullopt: malformed.
@@ -39,21 +39,21 @@
 /// One machine's worker.
 class HollowWorker : public GangMember {
   public:
-    HollowWorker(MachineIdentity identity, core::WorkerTimes times, Workplace& workplace,
+    HollowWorker(MachineIdentity identity, core::AgentTimings times, Workplace& workplace,
                  TimePoint now);
     ~HollowWorker() override;
     HollowWorker(const HollowWorker&) = delete;
     HollowWorker& operator=(const HollowWorker&) = delete;
 
     const MachineIdentity& identity() const { return identity_; }
-    std::uint64_t session() const { return session_; }
-    std::uint64_t token() const { return token_; }
+    std::uint64_t agent_epoch() const { return agent_epoch_; }
+    std::uint64_t fencing_token() const { return token_; }
     std::size_t tasks() const { return tasks_.size(); }
 
     /// A report, or the answer to a direct call; each has a new number.
-    core::Report report();
+    core::Heartbeat heartbeat();
     /// The answer to a report that was sent then, in that session. False: dropped.
-    bool answered(TimePoint sent, std::uint64_t session, const Commands& commands, TimePoint now);
+    bool answered(TimePoint sent, std::uint64_t agent_epoch, const Commands& commands, TimePoint now);
     /// The status of a direct call.
     int direct(const Commands& commands, TimePoint now);
     /// Lets time pass: images arrive, tasks end, the lease runs out.
@@ -84,22 +84,22 @@
     };
     static constexpr TimePoint never = TimePoint::max();
 
-    void execute(const core::Order& order, TimePoint now);
-    void start(const core::Order& order, TimePoint now);
+    void execute(const core::TaskCommand& order, TimePoint now);
+    void start(const core::TaskCommand& order, TimePoint now);
     void has_image(Task& task, TimePoint now);
     void run(Task& task, TimePoint now);
     void step(Task& task, TimePoint now);
     void exit(Task& task, core::ExitCause cause, TimePoint now);
-    core::ExitCause refusal(const core::Order& order) const;
+    core::ExitCause refusal(const core::TaskCommand& order) const;
     TimePoint image_ready(const core::JobSpec& spec, TimePoint now);
-    void saw_token(std::uint64_t token, TimePoint now);
+    void saw_token(std::uint64_t fencing_token, TimePoint now);
     void drop_all(TimePoint now);
     void mark_changed();
 
     MachineIdentity identity_;
-    core::WorkerTimes times_;
+    core::AgentTimings times_;
     Workplace& workplace_;
-    std::uint64_t session_ = 1;
+    std::uint64_t agent_epoch_ = 1;
     std::uint64_t seq_ = 0;
     std::uint64_t token_ = 0;
     TimePoint lease_from_;
--- a/src/app/acceptor.cpp
+++ b/src/app/acceptor.cpp
@@ -23,9 +23,10 @@
 
 }  // namespace
 
-Acceptor::Acceptor(StateStore& store, StateLimits limits) : store_(store), limits_(limits) {}
+JobAdmission::JobAdmission(KeyValueStore& store, StateLimits limits)
+    : store_(store), limits_(limits) {}
 
-Acceptor::Answer Acceptor::accept(core::JobRecord record) {
+JobAdmission::Answer JobAdmission::accept(core::JobRecord record) {
     auto entry = std::make_shared<Entry>();
     entry->record = std::move(record);
     entry->until = Clock::now() + accept_limit;
@@ -33,10 +34,10 @@
     waiting_.push_back(entry);
     wanted_.notify_one();
     settled_.wait_until(lock, entry->until, [&] { return entry->outcome.has_value(); });
-    return {entry->outcome.value_or(Outcome::failed), entry->sent};
+    return {entry->outcome.value_or(Result::failed), entry->sent};
 }
 
-Acceptor::Batch Acceptor::gather() {
+JobAdmission::Batch JobAdmission::gather() {
     // Guard: one record that the state service calls malformed took all that were written with it
     // along, until their users gave up. They are told apart one by one.
     const auto most =
@@ -53,28 +54,29 @@
     return batch;
 }
 
-void Acceptor::settle(const Batch& batch, const Txn& txn, Clock::time_point sent) {
+void JobAdmission::settle(const Batch& batch, const CasResult& cas_result, Clock::time_point sent) {
     const std::lock_guard lock(mutex_);
     for (const auto& entry : batch) {
         entry->sent = sent;
         const auto& id = entry->record.spec.id;
         const auto failed = [&](const std::string& key) {
-            return std::find(txn.failed.begin(), txn.failed.end(), key) != txn.failed.end();
+            return std::find(cas_result.failed.begin(), cas_result.failed.end(), key) !=
+                   cas_result.failed.end();
         };
-        if (txn.outcome == app::Outcome::ok)
-            entry->outcome = Outcome::accepted;
-        else if (txn.outcome == app::Outcome::conflict &&
+        if (cas_result.outcome == StoreStatus::ok)
+            entry->outcome = Result::accepted;
+        else if (cas_result.outcome == StoreStatus::conflict &&
                  (failed(keys::job(id)) || failed(keys::over(id))))
-            entry->outcome = Outcome::known;
-        else if (txn.outcome == app::Outcome::invalid && batch.size() == 1)
-            entry->outcome = Outcome::failed;
+            entry->outcome = Result::known;
+        else if (cas_result.outcome == StoreStatus::invalid && batch.size() == 1)
+            entry->outcome = Result::failed;
         else
             waiting_.push_front(entry);
     }
     settled_.notify_all();
 }
 
-app::Outcome Acceptor::write(const Batch& batch) {
+StoreStatus JobAdmission::write(const Batch& batch) {
     std::vector<wire::Condition> conditions;
     std::vector<wire::Operation> operations;
     for (const auto& entry : batch) {
@@ -84,12 +86,12 @@
         operations.push_back({keys::job(id), wire::job_record(entry->record), {}});
     }
     const auto sent = Clock::now();
-    const auto txn = store_.transact(conditions, operations);
-    settle(batch, txn, sent);
-    return txn.outcome;
+    const auto cas_result = store_.compare_and_swap(conditions, operations);
+    settle(batch, cas_result, sent);
+    return cas_result.outcome;
 }
 
-void Acceptor::run() {
+void JobAdmission::run() {
     std::mt19937 random(std::random_device{}());
     std::uniform_int_distribution<int> jitter(0, static_cast<int>(pause_after_refusal.count()));
     for (;;) {
@@ -100,7 +102,7 @@
         std::this_thread::sleep_for(gather_time);
         const auto batch = gather();
         if (batch.empty()) continue;
-        if (write(batch) == app::Outcome::invalid && batch.size() > 1) alone_ = batch.size();
+        if (write(batch) == StoreStatus::invalid && batch.size() > 1) alone_ = batch.size();
         bool again = false;
         {
             const std::lock_guard lock(mutex_);
--- a/src/app/acceptor.hpp
+++ b/src/app/acceptor.hpp
@@ -15,21 +15,21 @@
 
 namespace bendspindle::app {
 
-class Acceptor {
+class JobAdmission {
   public:
-    enum class Outcome : std::uint8_t {
+    enum class Result : std::uint8_t {
         accepted,
         known,   // a record exists: open or over
         failed,  // not recorded in time, as far as known
     };
 
     struct Answer {
-        Outcome outcome = Outcome::failed;
+        Result outcome = Result::failed;
         // When the transaction was sent: others may have told of the job since.
         std::chrono::steady_clock::time_point sent{};
     };
 
-    Acceptor(StateStore& store, StateLimits limits);
+    JobAdmission(KeyValueStore& store, StateLimits limits);
     // Runs until the process ends.
     void run();
     // Waits until the record is written, or no longer than a user may be kept waiting.
@@ -40,16 +40,16 @@
     struct Entry {
         core::JobRecord record;
         Clock::time_point until{};
-        std::optional<Outcome> outcome;
+        std::optional<Result> outcome;
         Clock::time_point sent{};
     };
     using Batch = std::vector<std::shared_ptr<Entry>>;
 
     Batch gather();
-    app::Outcome write(const Batch& batch);
-    void settle(const Batch& batch, const Txn& txn, Clock::time_point sent);
+    StoreStatus write(const Batch& batch);
+    void settle(const Batch& batch, const CasResult& cas_result, Clock::time_point sent);
 
-    StateStore& store_;
+    KeyValueStore& store_;
     StateLimits limits_;
     std::mutex mutex_;
     std::condition_variable wanted_;
--- a/src/app/allowance.hpp
+++ b/src/app/allowance.hpp
@@ -7,9 +7,9 @@
 
 namespace bendspindle::app {
 
-class Allowance {
+class TokenBucket {
   public:
-    Allowance(double per_second, core::Seconds in_hand)
+    TokenBucket(double per_second, core::Seconds in_hand)
         : rate_(per_second), most_(per_second * in_hand.count()), left_(most_) {}
     // Takes one if there is one.
     bool take(core::TimePoint now) {
--- a/src/app/cancellation_replication.hpp
+++ b/src/app/cancellation_replication.hpp
@@ -6,8 +6,8 @@
 //  - A follower asks the leader, or with that one lost the other followers, what is cancelled.
 //
 // From this each knows whether it may renew the leases of workers and what its answers stop. The
-// decisions are those of `RoleProof` and `LastWord`; this class calls peers and answers them, and
-// holds its lock across no call. The time and the calls are passed in.
+// decisions are those of `LeadershipProof` and `CancellationReplica`; this class calls peers and
+// answers them, and holds its lock across no call. The time and the calls are passed in.
 #pragma once
 
 #include <cstddef>
@@ -38,14 +38,15 @@
 class CancellationReplication {
   public:
     // `name`: this controller's. `role` and `peers` outlive this.
-    CancellationReplication(std::string name, const core::WorkerTimes& workers, Role& role,
-                            Peers& peers, ClockFunction clock = steady_clock());
+    CancellationReplication(std::string name, const core::AgentTimings& workers,
+                            Leadership& leadership, Peers& peers,
+                            ClockFunction clock = steady_clock());
 
     // This controller has become the leader.
-    void took_over();
+    void on_elected();
     // It is the leader no more. Guard against ran_cancelled: the duty outlives the role. What is
     // not proved gone is stopped by this controller's answers as a follower.
-    void stood_down(const CancelledJobs& own);
+    void on_deposed(const CancelledJobs& own);
     // Tells or asks the peers, once a second.
     void round();
 
@@ -53,38 +54,39 @@
     bool may_renew() const;
     // A worker's report at a follower, with the leader out of reach: the stops to answer, if its
     // lease may be renewed.
-    std::optional<std::vector<core::Order>> renew_unheard(const core::Report& report) const;
+    std::optional<std::vector<core::TaskCommand>> renew_without_leader(
+        const core::Heartbeat& heartbeat) const;
 
     // Tells peers that a job is about to be called cancelled. False: too few of them know of it.
-    bool tell_cancelled(const std::string& job, std::uint64_t epoch);
+    bool replicate_cancellation(const std::string& job, std::uint64_t term);
     // Whether a former leader can no longer find a majority that vouches for it.
     bool known_to_enough() const;
 
     // What peers are answered: to the leader that tells a cancelled job, and to one that asks what
     // is cancelled, by the leader (with what it has in memory) and by a follower.
-    Reply hear_cancelled(const std::string& job, std::uint64_t epoch);
-    Reply word_of_leader(const std::string& peer, const CancelledJobs& own);
-    Reply word_of_follower() const;
+    Response record_cancellation(const std::string& job, std::uint64_t term);
+    Response leader_snapshot(const std::string& peer, const CancelledJobs& own);
+    Response follower_snapshot() const;
 
   private:
     using Answered =
         std::function<void(const std::string& peer, const wire::peer::Answer&, core::TimePoint)>;
 
-    void tell_peers(const Standing& standing);
-    void ask_for_vouchers(const Standing& standing);
-    void ask_for_word(const Standing& standing);
-    bool ask_leader(const Standing& standing);
-    void ask_followers(const Standing& standing);
-    void ask_all_but_leader(const Standing& standing, const Answered& answered);
-    wire::peer::Word own_word(const CancelledJobs& own) const;
+    void tell_peers(const LeadershipStatus& status);
+    void ask_for_vouchers(const LeadershipStatus& status);
+    void ask_for_word(const LeadershipStatus& status);
+    bool ask_leader(const LeadershipStatus& status);
+    void ask_followers(const LeadershipStatus& status);
+    void ask_all_but_leader(const LeadershipStatus& status, const Answered& answered);
+    wire::peer::CancellationSnapshot own_word(const CancelledJobs& own) const;
 
     const std::string name_;
-    Role& role_;
+    Leadership& leadership_;
     Peers& peers_;
     const ClockFunction clock_;
     mutable std::mutex mutex_;  // taken while holding the office's, never the other way round
-    RoleProof proof_;
-    LastWord last_word_;
+    LeadershipProof proof_;
+    CancellationReplica cancellation_replica_;
 };
 
 }  // namespace bendspindle::app
--- a/src/app/cloud_desk.cpp
+++ b/src/app/cloud_desk.cpp
@@ -27,8 +27,11 @@
 
 }  // namespace
 
-CloudDesk::CloudDesk(Office& office, const Settings& settings, std::function<bool()> may_act)
-    : office_(office), client_(settings.cloud, call_limit), may_act_(std::move(may_act)) {
+CloudClient::CloudClient(LeaderState& leader_state, const Settings& settings,
+                         std::function<bool()> may_act)
+    : leader_state_(leader_state),
+      client_(settings.cloud, call_limit),
+      may_act_(std::move(may_act)) {
     // All controllers read the catalog, one does the rest; a tenth is left free.
     spacing_ = duration_cast<Clock::duration>(
         std::chrono::duration<double>(1.1 / settings.cloud_requests_per_s));
@@ -36,12 +39,12 @@
                            duration_cast<Clock::duration>(least_list_every));
 }
 
-void CloudDesk::pace() {
+void CloudClient::pace() {
     std::this_thread::sleep_until(next_call_);
     next_call_ = Clock::now() + spacing_;
 }
 
-void CloudDesk::read_catalog() {
+void CloudClient::read_catalog() {
     pace();
     const auto answer = client_.get(wire::path::catalog);
     auto types = answer && answer->status == 200 ? wire::parse_catalog(answer->body) : std::nullopt;
@@ -50,10 +53,10 @@
         return;
     }
     next_catalog_ = Clock::now() + catalog_every;
-    office_.learn_types(std::move(*types));
+    leader_state_.learn_types(std::move(*types));
 }
 
-void CloudDesk::read_list() {
+void CloudClient::read_list() {
     std::vector<core::ListedMachine> machines;
     std::string after;
     const auto asked = Clock::now();
@@ -67,11 +70,11 @@
         if (!list->more || machines.empty()) break;
         after = machines.back().name;
     }
-    const std::lock_guard lock(office_.mutex);
-    if (office_.controller) office_.controller->listed(machines, asked, Clock::now());
+    const std::lock_guard lock(leader_state_.mutex);
+    if (leader_state_.controller) leader_state_.controller->listed(machines, asked, Clock::now());
 }
 
-void CloudDesk::rent(const core::RentRequest& request, std::uint64_t epoch) {
+void CloudClient::rent(const core::ScaleOutRequest& request, std::uint64_t term) {
     for (int i = 0; i < rent_tries; ++i) {
         pace();
         if (!may_act_()) return;
@@ -86,15 +89,15 @@
         }
         spdlog::info("rent {} {} in {}{}: {} of {}", request.request, request.type, request.zone,
                      request.spot ? " (spot)" : "", names.size(), request.count);
-        const std::lock_guard lock(office_.mutex);
-        if (office_.controller && office_.controller->epoch() == epoch)
-            office_.controller->rented(request, names, Clock::now());
-        office_.want_write();
+        const std::lock_guard lock(leader_state_.mutex);
+        if (leader_state_.controller && leader_state_.controller->term() == term)
+            leader_state_.controller->scaled_out(request, names, Clock::now());
+        leader_state_.want_write();
         return;
     }
 }
 
-void CloudDesk::release(const core::RentPlan& plan, std::uint64_t epoch) {
+void CloudClient::release(const core::ScalingPlan& plan, std::uint64_t term) {
     pace();
     // Guard against machines returned under another controller: one that had stood still for 20 s
     // went on with the plan it had in hand and returned 63 that its successor had work on. What
@@ -104,31 +107,31 @@
     const auto answer = client_.post(wire::path::release, wire::release_body(names));
     if (!answer || answer->status != 200) return;
     spdlog::info("released {} machines, first {}", names.size(), names.front());
-    const std::lock_guard lock(office_.mutex);
-    if (!office_.controller || office_.controller->epoch() != epoch) return;
-    office_.controller->released(names);
-    office_.want_write();
-    office_.want_place();
+    const std::lock_guard lock(leader_state_.mutex);
+    if (!leader_state_.controller || leader_state_.controller->term() != term) return;
+    leader_state_.controller->released(names);
+    leader_state_.want_write();
+    leader_state_.want_place();
 }
 
-void CloudDesk::run() {
+void CloudClient::run() {
     for (;;) {
         if (Clock::now() >= next_catalog_) read_catalog();
-        core::RentPlan plan;
-        std::uint64_t epoch = 0;
-        bool acting = false;
+        core::ScalingPlan plan;
+        std::uint64_t term = 0;
+        bool leading = false;
         {
-            const std::lock_guard lock(office_.mutex);
-            if (office_.controller) {
-                acting = true;
-                epoch = office_.controller->epoch();
-                plan = office_.controller->plan_renting(Clock::now());
+            const std::lock_guard lock(leader_state_.mutex);
+            if (leader_state_.controller) {
+                leading = true;
+                term = leader_state_.controller->term();
+                plan = leader_state_.controller->plan_scaling(Clock::now());
             }
         }
         // What frees tasks for placing anew goes before what adds room.
-        if (!plan.release.empty()) release(plan, epoch);
-        for (const auto& request : plan.rent) rent(request, epoch);
-        if (acting && Clock::now() >= next_list_) {
+        if (!plan.release.empty()) release(plan, term);
+        for (const auto& request : plan.scale_out) rent(request, term);
+        if (leading && Clock::now() >= next_list_) {
             next_list_ = Clock::now() + list_every_;
             read_list();
         }
--- a/src/app/cloud_desk.hpp
+++ b/src/app/cloud_desk.hpp
@@ -1,4 +1,4 @@
-// The steward's dealings with the cloud: catalog, machine list, rentals and releases, within the
+// The leader's dealings with the cloud: catalog, machine list, rentals and releases, within the
 // cloud's call limit.
 #pragma once
 
@@ -13,10 +13,10 @@
 
 namespace bendspindle::app {
 
-class CloudDesk {
+class CloudClient {
   public:
     // `may_act`: whether no other controller can act yet.
-    CloudDesk(Office& office, const Settings& settings, std::function<bool()> may_act);
+    CloudClient(LeaderState& leader_state, const Settings& settings, std::function<bool()> may_act);
     // Runs until the process ends.
     void run();
 
@@ -24,11 +24,11 @@
     using Clock = std::chrono::steady_clock;
     void read_catalog();
     void read_list();
-    void rent(const core::RentRequest& request, std::uint64_t epoch);
-    void release(const core::RentPlan& plan, std::uint64_t epoch);
+    void rent(const core::ScaleOutRequest& request, std::uint64_t term);
+    void release(const core::ScalingPlan& plan, std::uint64_t term);
     void pace();
 
-    Office& office_;
+    LeaderState& leader_state_;
     io::HttpClient client_;
     std::function<bool()> may_act_;
     Clock::duration spacing_;
--- a/src/app/courier.cpp
+++ b/src/app/courier.cpp
@@ -15,48 +15,50 @@
 
 }  // namespace
 
-void Courier::start() {
+void AgentCommandClient::start() {
     for (int i = 0; i < threads; ++i) std::thread([this] { run(); }).detach();
 }
 
-void Courier::send(core::DirectCall call) {
+void AgentCommandClient::send(core::DirectCommand call) {
     const std::lock_guard lock(mutex_);
     queue_.push_back(std::move(call));
     wake_.notify_one();
 }
 
-void Courier::run() {
+void AgentCommandClient::run() {
     using Clock = std::chrono::steady_clock;
     for (;;) {
-        core::DirectCall call;
+        core::DirectCommand call;
         {
             std::unique_lock lock(mutex_);
             wake_.wait(lock, [&] { return !queue_.empty(); });
             call = std::move(queue_.front());
             queue_.pop_front();
         }
-        auto outcome = core::CallOutcome::unknown;
-        std::optional<core::Report> report;
+        auto outcome = core::CommandOutcome::unknown;
+        std::optional<core::Heartbeat> heartbeat;
         if (const auto endpoint = io::parse_endpoint(call.address)) {
             io::HttpClient client(*endpoint, call_limit);
             if (const auto answer =
-                    client.post(wire::path::direct_orders, wire::direct_body(call))) {
+                    client.post(wire::path::direct_orders, wire::direct_commands_body(call))) {
                 if (answer->status == 200 || answer->status == 409)
-                    report = wire::parse_report(answer->body);
-                if (answer->status == 409) outcome = core::CallOutcome::rejected;
-                if (answer->status == 200 && report) outcome = core::CallOutcome::executed;
+                    heartbeat = wire::parse_heartbeat(answer->body);
+                if (answer->status == 409) outcome = core::CommandOutcome::rejected;
+                if (answer->status == 200 && heartbeat) outcome = core::CommandOutcome::executed;
             }
         }
-        const std::lock_guard lock(office_.mutex);
-        if (!office_.controller || office_.controller->epoch() != call.token) continue;
-        office_.controller->called(call, outcome, report ? &*report : nullptr, Clock::now());
-        office_.want_write();
+        const std::lock_guard lock(leader_state_.mutex);
+        if (!leader_state_.controller || leader_state_.controller->term() != call.fencing_token)
+            continue;
+        leader_state_.controller->called(call, outcome, heartbeat ? &*heartbeat : nullptr,
+                                         Clock::now());
+        leader_state_.want_write();
         // A machine that has just been confirmed, or answered under another session, has work; one
         // that was told to stop tasks may have room.
-        const bool stops =
-            std::any_of(call.orders.begin(), call.orders.end(),
-                        [](const auto& order) { return order.verb == core::Order::Verb::stop; });
-        if (call.orders.empty() || stops) office_.want_place();
+        const bool stops = std::any_of(
+            call.commands.begin(), call.commands.end(),
+            [](const auto& command) { return command.verb == core::TaskCommand::Verb::stop; });
+        if (call.commands.empty() || stops) leader_state_.want_place();
     }
 }
 
--- a/src/app/courier.hpp
+++ b/src/app/courier.hpp
@@ -10,19 +10,19 @@
 
 namespace bendspindle::app {
 
-class Courier {
+class AgentCommandClient {
   public:
-    explicit Courier(Office& office) : office_(office) {}
+    explicit AgentCommandClient(LeaderState& leader_state) : leader_state_(leader_state) {}
     void start();
-    void send(core::DirectCall call);
+    void send(core::DirectCommand call);
 
   private:
     void run();
 
-    Office& office_;
+    LeaderState& leader_state_;
     std::mutex mutex_;
     std::condition_variable wake_;
-    std::deque<core::DirectCall> queue_;
+    std::deque<core::DirectCommand> queue_;
 };
 
 }  // namespace bendspindle::app
--- a/src/app/membership.cpp
+++ b/src/app/membership.cpp
@@ -14,8 +14,8 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-constexpr const char* steward_key = "steward";
-constexpr const char* view_key = "view";
+constexpr const char* leader_key = "steward";
+constexpr const char* leadership_record_key = "view";
 constexpr milliseconds check_every{500};
 // Without news; the watch usually tells sooner.
 constexpr milliseconds look_every{1000};
@@ -30,8 +30,8 @@
 
 }  // namespace
 
-Membership::Membership(StateStore& store, std::string name, core::Seconds lease, Events events,
-                       ClockFunction clock)
+LeaderElector::LeaderElector(KeyValueStore& store, std::string name, core::Seconds lease,
+                             Events events, ClockFunction clock)
     : store_(store),
       name_(std::move(name)),
       lease_time_(lease),
@@ -41,71 +41,71 @@
     incarnation_ = (static_cast<std::uint64_t>(device()) << 16) ^ device();
 }
 
-Standing Membership::standing() const {
+LeadershipStatus LeaderElector::status() const {
     const std::lock_guard lock(mutex_);
-    return standing_;
+    return status_;
 }
 
-bool Membership::lease_valid() const {
+bool LeaderElector::lease_valid() const {
     const std::lock_guard lock(mutex_);
     return lease_.has_value() && clock_() < valid_until_;
 }
 
-Membership::Clock::time_point Membership::lease_end() const {
+LeaderElector::Clock::time_point LeaderElector::lease_end() const {
     const std::lock_guard lock(mutex_);
     return valid_until_;
 }
 
-bool Membership::knows_view() const {
+bool LeaderElector::knows_leadership_record() const {
     const std::lock_guard lock(mutex_);
-    return knows_view_;
+    return knows_leadership_record_;
 }
 
-void Membership::suspect(std::uint64_t epoch) {
+void LeaderElector::observe_newer_term(std::uint64_t term) {
     const std::lock_guard lock(mutex_);
-    if (epoch <= standing_.epoch) return;
-    steward_seen_ = 0;
+    if (term <= status_.term) return;
+    leader_key_seen_ = 0;
     look_now_ = true;
     wake_.notify_one();
 }
 
-void Membership::heard(std::uint64_t epoch, const std::string& steward) {
-    bool was_acting = false;
+void LeaderElector::learn_leader(std::uint64_t term, const std::string& leader) {
+    bool was_leading = false;
     {
         const std::lock_guard lock(mutex_);
-        if (epoch <= standing_.epoch) return;
-        was_acting = standing_.acting;
-        standing_ = {epoch, steward, false, 0};
-        if (steward.empty()) {
-            steward_seen_ = 0;
+        if (term <= status_.term) return;
+        was_leading = status_.leading;
+        status_ = {term, leader, false, 0};
+        if (leader.empty()) {
+            leader_key_seen_ = 0;
             look_now_ = true;
             wake_.notify_one();
         }
     }
-    if (!was_acting) return;
-    spdlog::info("{} acts under epoch {}; acting no more", steward.empty() ? "another" : steward,
-                 epoch);
-    events_.deposed();
+    if (!was_leading) return;
+    spdlog::info("{} acts under epoch {}; acting no more", leader.empty() ? "another" : leader,
+                 term);
+    events_.on_deposed();
 }
 
-void Membership::step_down() {
-    bool was_acting = false;
+void LeaderElector::step_down() {
+    bool was_leading = false;
     {
         const std::lock_guard lock(mutex_);
         lease_.reset();
         // Given up before its time, another may act at once.
         valid_until_ = std::min(valid_until_, clock_());
-        was_acting = standing_.acting;
-        standing_.acting = false;
-        if (was_acting) standing_.steward.clear();
+        was_leading = status_.leading;
+        status_.leading = false;
+        if (was_leading) status_.leader.clear();
     }
-    if (was_acting) {
+    if (was_leading) {
         spdlog::info("lost the steward's lease; acting no more");
-        events_.deposed();
+        events_.on_deposed();
     }
 }
 
-void Membership::renew() {
+void LeaderElector::renew() {
     const auto sent = clock_();
     std::optional<std::uint64_t> lease;
     std::optional<std::uint64_t> held;
@@ -116,24 +116,24 @@
     }
     const auto life = duration_cast<milliseconds>(lease_time_);
     if (!lease) {
-        const auto granted = store_.grant(life);
+        const auto granted = store_.grant_lease(life);
         if (!granted) return;
-        const auto put = store_.transact(
+        const auto put = store_.compare_and_swap(
             {}, {{"controller/" + name_, wire::Value{{"incarnation", incarnation_}}, *granted}});
-        if (put.outcome != Outcome::ok) return;
+        if (put.outcome != StoreStatus::ok) return;
         lease = granted;
     } else {
-        const auto outcome = store_.touch(*lease);
-        if (outcome == Outcome::absent) {
+        const auto outcome = store_.keep_alive(*lease);
+        if (outcome == StoreStatus::absent) {
             step_down();
             return;
         }
-        if (outcome != Outcome::ok) return;
+        if (outcome != StoreStatus::ok) return;
         // Guard against a former life that goes on: its lease may live while another life of its
         // name has put its own key over the one that the lease was for. Without this it would tell
         // users what it knew for as long as it renews.
-        if (const auto now = standing(); now.acting) {
-            const auto holds = holds_key(now.steward_stamp);
+        if (const auto now = status(); now.leading) {
+            const auto holds = holds_key(now.leader_key_revision);
             if (!holds) return;
             if (!*holds) {
                 step_down();
@@ -151,31 +151,31 @@
     next_renewal_ = sent + duration_cast<milliseconds>(lease_time_ / renewals_a_lease);
 }
 
-std::optional<bool> Membership::holds_key(std::uint64_t stamp) {
-    const auto key = store_.get(steward_key);
-    if (key.outcome == Outcome::absent) return false;
-    if (key.outcome != Outcome::ok) return std::nullopt;
-    return key.entry.stamp == stamp;
+std::optional<bool> LeaderElector::holds_key(std::uint64_t mod_revision) {
+    const auto key = store_.get(leader_key);
+    if (key.outcome == StoreStatus::absent) return false;
+    if (key.outcome != StoreStatus::ok) return std::nullopt;
+    return key.entry.mod_revision == mod_revision;
 }
 
-void Membership::look() {
-    const auto before = standing();
-    if (before.acting || !lease_valid()) return;
-    const auto steward = store_.get(steward_key);
-    std::optional<StewardKey> key;
-    if (steward.outcome == Outcome::ok) {
-        const auto& entry = steward.entry;
-        key = StewardKey{entry.value.value("name", std::string()), entry.lease, entry.stamp};
+void LeaderElector::look() {
+    const auto before = status();
+    if (before.leading || !lease_valid()) return;
+    const auto leader = store_.get(leader_key);
+    std::optional<LeaderKey> key;
+    if (leader.outcome == StoreStatus::ok) {
+        const auto& entry = leader.entry;
+        key = LeaderKey{entry.value.value("name", std::string()), entry.lease, entry.mod_revision};
         const std::lock_guard lock(mutex_);
-        if (entry.stamp == steward_seen_) return;
-    } else if (steward.outcome != Outcome::absent) {
+        if (entry.mod_revision == leader_key_seen_) return;
+    } else if (leader.outcome != StoreStatus::absent) {
         return;
     }
-    const auto view = store_.get(view_key);
-    if (view.outcome != Outcome::ok && view.outcome != Outcome::absent) return;
-    std::optional<wire::ViewRecord> parsed;
-    if (view.outcome == Outcome::ok) {
-        parsed = wire::parse_view(view.entry.value);
+    const auto view = store_.get(leadership_record_key);
+    if (view.outcome != StoreStatus::ok && view.outcome != StoreStatus::absent) return;
+    std::optional<wire::LeadershipRecord> parsed;
+    if (view.outcome == StoreStatus::ok) {
+        parsed = wire::parse_leadership_record(view.entry.value);
         if (!parsed) {
             spdlog::error("the view in the state service cannot be read; not acting");
             return;
@@ -187,130 +187,135 @@
         lease = lease_;
     }
     if (!lease) return;
-    const Candidate self{name_, *lease, just_returned_, gave_way_};
-    switch (succession(key, parsed, self)) {
-        case Succession::follow:
+    const Candidate self{name_, *lease, just_restarted_, yielded_};
+    switch (decide_election(key, parsed, self)) {
+        case ElectionDecision::follow:
             break;
-        case Succession::take:
-        case Succession::come_back:
-            if (!giving_way()) take_over(key, parsed, parsed ? view.entry.stamp : 0, self);
+        case ElectionDecision::take:
+        case ElectionDecision::reclaim:
+            if (!yielding()) take_over(key, parsed, parsed ? view.entry.mod_revision : 0, self);
             return;
-        case Succession::give_way:
+        case ElectionDecision::yield_leadership:
             spdlog::error("ended {} times soon after taking the role; others go first",
-                          parsed->returns);
-            gave_way_ = true;
+                          parsed->consecutive_restarts);
+            yielded_ = true;
             let_others_go_first();
             return;
     }
     if (!parsed) return;
-    just_returned_ = false;
+    just_restarted_ = false;
     const std::lock_guard lock(mutex_);
-    knows_view_ = true;
-    steward_seen_ = steward.entry.stamp;
-    if (parsed->epoch >= standing_.epoch) {
-        standing_.epoch = parsed->epoch;
-        standing_.steward = parsed->steward == name_ ? std::string{} : parsed->steward;
+    knows_leadership_record_ = true;
+    leader_key_seen_ = leader.entry.mod_revision;
+    if (parsed->term >= status_.term) {
+        status_.term = parsed->term;
+        status_.leader = parsed->leader == name_ ? std::string{} : parsed->leader;
     }
 }
 
-bool Membership::giving_way() const {
+bool LeaderElector::yielding() const {
     const std::lock_guard lock(mutex_);
-    return clock_() < giving_way_until_;
+    return clock_() < yielding_until_;
 }
 
-void Membership::let_others_go_first() {
+void LeaderElector::let_others_go_first() {
     const std::lock_guard lock(mutex_);
-    giving_way_until_ = clock_() + duration_cast<milliseconds>(lease_time_) + others_first;
+    yielding_until_ = clock_() + duration_cast<milliseconds>(lease_time_) + others_first;
 }
 
-void Membership::take_over(const std::optional<StewardKey>& former,
-                           const std::optional<wire::ViewRecord>& view, std::uint64_t view_stamp,
-                           const Candidate& self) {
-    const wire::ViewRecord next{view ? view->epoch + 1 : 1, name_, returns_of_next(view, self)};
+void LeaderElector::take_over(const std::optional<LeaderKey>& former,
+                              const std::optional<wire::LeadershipRecord>& view,
+                              std::uint64_t leadership_record_revision, const Candidate& self) {
+    const wire::LeadershipRecord next{view ? view->term + 1 : 1, name_,
+                                      next_consecutive_restarts(view, self)};
     // Under the new lease in the same step: the key is never gone, so nobody else takes the role
     // without knowing of the former life that may not be over.
-    const auto txn = store_.transact(
-        {{steward_key, former ? former->stamp : 0}, {view_key, view_stamp}},
-        {{steward_key, wire::Value{{"name", name_}, {"incarnation", incarnation_}}, self.lease},
-         {view_key, wire::view_record(next), std::nullopt}});
-    // An unanswered transaction may have made this controller the steward without its knowing, or
+    const auto cas_result = store_.compare_and_swap(
+        {{leader_key, former ? former->mod_revision : 0},
+         {leadership_record_key, leadership_record_revision}},
+        {{leader_key, wire::Value{{"name", name_}, {"incarnation", incarnation_}}, self.lease},
+         {leadership_record_key, wire::leadership_record(next), std::nullopt}});
+    // An unanswered transaction may have made this controller the leader without its knowing, or
     // may still do so. Once its lease is ended for certain neither can last; else the lease runs
     // out.
-    if (txn.outcome == Outcome::unknown) {
+    if (cas_result.outcome == StoreStatus::unknown) {
         step_down();
-        const auto ended = store_.revoke(self.lease);
-        const bool certain = ended == Outcome::ok || ended == Outcome::absent;
+        const auto ended = store_.revoke_lease(self.lease);
+        const bool certain = ended == StoreStatus::ok || ended == StoreStatus::absent;
         const std::lock_guard lock(mutex_);
         if (!certain) next_renewal_ = clock_() + duration_cast<milliseconds>(lease_time_);
         return;
     }
-    if (txn.outcome != Outcome::ok) return;
+    if (cas_result.outcome != StoreStatus::ok) return;
     {
         const std::lock_guard lock(mutex_);
         // The lease that holds the key has been given up meanwhile.
         if (resigned_ || lease_ != self.lease) return;
-        standing_ = {next.epoch, name_, true, txn.revision};
-        knows_view_ = true;
-        steward_seen_ = txn.revision;
+        status_ = {next.term, name_, true, cas_result.revision};
+        knows_leadership_record_ = true;
+        leader_key_seen_ = cas_result.revision;
         // Guard: the life before may have ended before it ended the lease of its own former life.
-        const auto doubt = view && view->returns > 0
+        const auto doubt = view && view->consecutive_restarts > 0
                                ? clock_() + duration_cast<milliseconds>(lease_time_)
                                : Clock::time_point{};
-        finals_from_ = former ? Clock::time_point::max() : doubt;
+        terminal_states_allowed_from_ = former ? Clock::time_point::max() : doubt;
         progress_ = false;
     }
-    just_returned_ = false;
+    just_restarted_ = false;
     view_ = next;
-    view_stamp_ = txn.revision;
+    leadership_record_revision_ = cas_result.revision;
     if (former) former_lease_ = former->lease;
-    spdlog::info("acting under epoch {}{}", next.epoch, former ? ", returned at once" : "");
-    events_.took_over(next.epoch, txn.revision);
+    spdlog::info("acting under epoch {}{}", next.term, former ? ", returned at once" : "");
+    events_.on_elected(next.term, cas_result.revision);
 }
 
 // Once it is ended the former life, should it live, renews it no more.
-void Membership::end_former_lease() {
+void LeaderElector::end_former_lease() {
     if (!former_lease_) return;
-    const auto ended = store_.revoke(*former_lease_);
-    if (ended != Outcome::ok && ended != Outcome::absent) return;
+    const auto ended = store_.revoke_lease(*former_lease_);
+    if (ended != StoreStatus::ok && ended != StoreStatus::absent) return;
     former_lease_.reset();
     const std::lock_guard lock(mutex_);
-    finals_from_ = clock_() + duration_cast<milliseconds>(lease_time_);
+    terminal_states_allowed_from_ = clock_() + duration_cast<milliseconds>(lease_time_);
 }
 
 // So that the next life's return is not counted with those that got nowhere.
-void Membership::record_progress() {
-    const auto now = standing();
+void LeaderElector::record_progress() {
+    const auto now = status();
     {
         const std::lock_guard lock(mutex_);
         if (!progress_) return;
     }
-    if (!now.acting || view_.returns == 0 || view_.epoch != now.epoch) return;
+    if (!now.leading || view_.consecutive_restarts == 0 || view_.term != now.term) return;
     auto settled = view_;
-    settled.returns = 0;
-    const auto txn = store_.transact({{steward_key, now.steward_stamp}, {view_key, view_stamp_}},
-                                     {{view_key, wire::view_record(settled), std::nullopt}});
+    settled.consecutive_restarts = 0;
+    const auto cas_result = store_.compare_and_swap(
+        {{leader_key, now.leader_key_revision},
+         {leadership_record_key, leadership_record_revision_}},
+        {{leadership_record_key, wire::leadership_record(settled), std::nullopt}});
     // A conflict: this very write went through unnoticed, or another controller acts.
-    if (txn.outcome == Outcome::ok || txn.outcome == Outcome::conflict) view_ = settled;
+    if (cas_result.outcome == StoreStatus::ok || cas_result.outcome == StoreStatus::conflict)
+        view_ = settled;
 }
 
-Membership::Clock::time_point Membership::finals_from() const {
+LeaderElector::Clock::time_point LeaderElector::terminal_states_allowed_from() const {
     const std::lock_guard lock(mutex_);
-    return finals_from_;
+    return terminal_states_allowed_from_;
 }
 
-void Membership::made_progress() {
+void LeaderElector::made_progress() {
     const std::lock_guard lock(mutex_);
     progress_ = true;
 }
 
-void Membership::round(bool look_who_acts) {
+void LeaderElector::round(bool look_who_acts) {
     renew();
     end_former_lease();
     record_progress();
     if (look_who_acts) look();
 }
 
-void Membership::run() {
+void LeaderElector::run() {
     std::mt19937 random(static_cast<unsigned>(incarnation_));
     std::uniform_int_distribution<int> jitter(0, 100);
     auto next_look = clock_();
@@ -327,28 +332,28 @@
 
 // Guard against nobody acting for longer than the lease asks for: polling alone notices an ended
 // lease half its interval late, on average.
-void Membership::watch() {
+void LeaderElector::watch() {
     std::uint64_t since = 0;
     for (;;) {
-        if (standing().acting) {
+        if (status().leading) {
             since = 0;
             std::this_thread::sleep_for(look_every);
             continue;
         }
         const auto news =
-            since == 0 ? store_.list(steward_key) : store_.watch(steward_key, since, watch_wait);
-        if (news.outcome == Outcome::ok) since = news.revision;
-        if (news.outcome == Outcome::too_old) since = 0;
+            since == 0 ? store_.list(leader_key) : store_.watch(leader_key, since, watch_wait);
+        if (news.outcome == StoreStatus::ok) since = news.revision;
+        if (news.outcome == StoreStatus::too_old) since = 0;
         {
             const std::lock_guard lock(mutex_);
             look_now_ = true;
             wake_.notify_one();
         }
-        if (news.outcome != Outcome::ok) std::this_thread::sleep_for(watch_pause);
+        if (news.outcome != StoreStatus::ok) std::this_thread::sleep_for(watch_pause);
     }
 }
 
-void Membership::give_way() {
+void LeaderElector::yield_leadership() {
     let_others_go_first();
     std::optional<std::uint64_t> lease;
     {
@@ -357,10 +362,10 @@
     }
     step_down();
     // Unanswered, it ends by itself: nobody renews it.
-    if (lease) store_.revoke(*lease);
+    if (lease) store_.revoke_lease(*lease);
 }
 
-void Membership::resign() {
+void LeaderElector::resign() {
     std::optional<std::uint64_t> lease;
     {
         const std::lock_guard lock(mutex_);
@@ -369,7 +374,7 @@
     }
     // First nothing is done or told any more in this role, then another may take it.
     step_down();
-    if (lease) store_.revoke(*lease);
+    if (lease) store_.revoke_lease(*lease);
 }
 
 }  // namespace bendspindle::app
--- a/src/app/office.hpp
+++ b/src/app/office.hpp
@@ -18,18 +18,18 @@
 namespace bendspindle::app {
 
 // Final states never change, so they may be kept and told by anyone. Bounded.
-class FinalCache {
+class TerminalStateCache {
   public:
-    explicit FinalCache(std::size_t most) : most_(most) {}
-    void put(const std::string& id, core::Final final) {
+    explicit TerminalStateCache(std::size_t most) : most_(most) {}
+    void put(const std::string& id, core::TerminalState terminal_state) {
         const std::lock_guard lock(mutex_);
-        if (!known_.try_emplace(id, final).second) return;
+        if (!known_.try_emplace(id, terminal_state).second) return;
         order_.push_back(id);
         if (order_.size() <= most_) return;
         known_.erase(order_.front());
         order_.pop_front();
     }
-    std::optional<core::Final> get(const std::string& id) const {
+    std::optional<core::TerminalState> get(const std::string& id) const {
         const std::lock_guard lock(mutex_);
         const auto it = known_.find(id);
         if (it == known_.end()) return std::nullopt;
@@ -39,7 +39,7 @@
   private:
     mutable std::mutex mutex_;
     std::size_t most_;
-    std::unordered_map<std::string, core::Final> known_;
+    std::unordered_map<std::string, core::TerminalState> known_;
     std::deque<std::string> order_;
 };
 
@@ -48,7 +48,7 @@
 // was put at or before `revision` is known already or over, and of what was put later it is
 // remembered which has ended, until news reach that far. So no old news begins a job again, however
 // late it comes and whatever else has been forgotten.
-class JobNews {
+class JobWatchCursor {
   public:
     // Records up to this revision were read.
     void begin(std::uint64_t revision) {
@@ -56,8 +56,8 @@
         ended_.clear();
     }
     std::uint64_t revision() const { return revision_; }
-    bool is_new(const std::string& id, std::uint64_t stamp) const {
-        return stamp > revision_ && !ended_.contains(id);
+    bool is_new(const std::string& id, std::uint64_t mod_revision) const {
+        return mod_revision > revision_ && !ended_.contains(id);
     }
     // The job's final state was recorded at this revision.
     void ended(const std::string& id, std::uint64_t revision) {
@@ -74,7 +74,7 @@
     std::unordered_map<std::string, std::uint64_t> ended_;  // with the revisions of their ends
 };
 
-struct Office {
+struct LeaderState {
     // The cloud's catalog. Whoever acts plans with it, others judge by it what can ever run.
     std::vector<core::MachineType> types() const {
         const std::lock_guard lock(types_mutex);
@@ -94,10 +94,10 @@
     }
     // Needs the lock. Guard against a minute without placing: a catalog that came while the
     // records were being loaded found no controller to tell, so a new one is told here.
-    void install(std::unique_ptr<core::Controller> fresh, std::uint64_t stamp) {
+    void install(std::unique_ptr<core::Controller> fresh, std::uint64_t mod_revision) {
         if (auto now = types(); !now.empty()) fresh->set_types(std::move(now));
         controller = std::move(fresh);
-        steward_stamp = stamp;
+        leader_key_revision = mod_revision;
         want_place();
         want_write();
     }
@@ -110,9 +110,9 @@
     std::condition_variable place_wanted;  // for the placing thread
     // Null when another controller acts, or while the records are being loaded.
     std::unique_ptr<core::Controller> controller;
-    std::optional<TakeoverLog> takeover_log;  // of the present controller
-    std::uint64_t steward_stamp = 0;
-    JobNews news;  // of open jobs, for the present controller
+    std::optional<FailoverProgress> failover_progress;  // of the present controller
+    std::uint64_t leader_key_revision = 0;
+    JobWatchCursor news;  // of open jobs, for the present controller
     bool write_pending = false;
     bool place_pending = false;
 
--- a/src/app/peers.cpp
+++ b/src/app/peers.cpp
@@ -51,19 +51,20 @@
     resting_until_[name] = clock_() + rest_after_failure;
 }
 
-std::optional<Reply> hand_to_leader(wire::peer::Op op, const std::string& id,
-                                    const std::string& body, Role& role, Peers& peers) {
-    const auto standing = role.standing();
-    if (!peers.knows(standing.steward)) return std::nullopt;
-    const auto answer = peers.call_unless_resting(standing.steward, {op, standing.epoch, id, body});
+std::optional<Response> forward_to_leader(wire::peer::Op op, const std::string& id,
+                                          const std::string& body, Leadership& leadership,
+                                          Peers& peers) {
+    const auto status = leadership.status();
+    if (!peers.knows(status.leader)) return std::nullopt;
+    const auto answer = peers.call_unless_resting(status.leader, {op, status.term, id, body});
     if (!answer) return std::nullopt;
-    if (answer->epoch > standing.epoch) role.suspect(answer->epoch);
-    return Reply{answer->status, answer->retry_after, answer->body};
+    if (answer->term > status.term) leadership.observe_newer_term(answer->term);
+    return Response{answer->status, answer->retry_after, answer->body};
 }
 
 std::vector<std::string> peer_names(const Settings& settings) {
     std::vector<std::string> out;
-    for (const auto& sibling : settings.siblings) out.push_back(sibling.name);
+    for (const auto& peer : settings.peers) out.push_back(peer.name);
     std::sort(out.begin(), out.end());
     out.erase(std::unique(out.begin(), out.end()), out.end());
     return out;
@@ -72,8 +73,8 @@
 Peers::Link socket_link(const Settings& settings) {
     using Clients = std::map<std::string, io::PeerClient>;
     const auto clients = std::make_shared<Clients>();
-    for (const auto& sibling : settings.siblings)
-        clients->try_emplace(sibling.name, sibling.endpoint, call_limit);
+    for (const auto& peer : settings.peers)
+        clients->try_emplace(peer.name, peer.endpoint, call_limit);
     return [clients](const std::string& name, const wire::peer::Request& request) {
         return clients->at(name).call(request);
     };
--- a/src/app/peers.hpp
+++ b/src/app/peers.hpp
@@ -55,8 +55,9 @@
 };
 
 // A user's or worker's request handed on to the leader, if it is known and answers.
-std::optional<Reply> hand_to_leader(wire::peer::Op op, const std::string& id,
-                                    const std::string& body, Role& role, Peers& peers);
+std::optional<Response> forward_to_leader(wire::peer::Op op, const std::string& id,
+                                          const std::string& body, Leadership& leadership,
+                                          Peers& peers);
 
 // The names of the peers in the settings, in order.
 std::vector<std::string> peer_names(const Settings& settings);
--- a/src/app/recorder.cpp
+++ b/src/app/recorder.cpp
@@ -30,66 +30,73 @@
 
 }  // namespace
 
-Recorder::Recorder(Office& office, StateStore& store, FinalCache& finals, StateLimits limits)
-    : office_(office), store_(store), finals_(finals), limits_(limits) {}
-
-Recorder::Batch Recorder::gather() {
-    const std::lock_guard lock(office_.mutex);
+StateWriter::StateWriter(LeaderState& leader_state, KeyValueStore& store,
+                         TerminalStateCache& terminal_states, StateLimits limits)
+    : leader_state_(leader_state),
+      store_(store),
+      terminal_states_(terminal_states),
+      limits_(limits) {}
+
+StateWriter::Batch StateWriter::gather() {
+    const std::lock_guard lock(leader_state_.mutex);
     auto batch = fill();
-    if (office_.controller) batch.finals = office_.controller->sent(batch.changes);
+    if (leader_state_.controller)
+        batch.terminal_states = leader_state_.controller->sent(batch.changes);
     return batch;
 }
 
-void Recorder::not_executed(const Batch& batch) {
-    const std::lock_guard lock(office_.mutex);
-    if (office_.controller && office_.controller->epoch() == batch.epoch)
-        office_.controller->not_executed(batch.finals);
+void StateWriter::not_executed(const Batch& batch) {
+    const std::lock_guard lock(leader_state_.mutex);
+    if (leader_state_.controller && leader_state_.controller->term() == batch.term)
+        leader_state_.controller->not_executed(batch.terminal_states);
 }
 
 // Needs the lock.
-Recorder::Batch Recorder::fill() {
+StateWriter::Batch StateWriter::fill() {
     Batch batch;
-    office_.write_pending = false;
-    if (!office_.controller) return batch;
-    batch.epoch = office_.controller->epoch();
-    // Ownership is proven in the same transaction: after a takeover the steward key has another
-    // stamp, and a late write of this controller fails.
-    batch.conditions.push_back({keys::steward, office_.steward_stamp});
+    leader_state_.write_pending = false;
+    if (!leader_state_.controller) return batch;
+    batch.term = leader_state_.controller->term();
+    // Ownership is proven in the same transaction: after a takeover the leader key has another
+    // mod_revision, and a late write of this controller fails.
+    batch.conditions.push_back({keys::leader, leader_state_.leader_key_revision});
     std::size_t bytes = 0;
     const auto now = Clock::now();
     std::erase_if(unwritable_, [&](const auto& entry) { return entry.second <= now; });
     const auto most = limits_.txn_ops + unwritable_.size() * 2;
-    for (auto& change : office_.controller->changes(most, now)) {
-        using What = core::Change::What;
+    for (auto& change : leader_state_.controller->changes(most, now)) {
+        using Type = core::RecordWrite::Type;
         if (unwritable_.contains(change.id)) continue;
-        const std::size_t operations = change.what == What::finish_job && change.stamp != 0 ? 2 : 1;
+        const std::size_t operations =
+            change.type == Type::finish_job && change.mod_revision != 0 ? 2 : 1;
         const bool full = batch.operations.size() + operations > limits_.txn_ops;
         if (!batch.changes.empty() && (full || alone_ > 0)) return batch;
-        switch (change.what) {
-            case What::put_job: {
+        switch (change.type) {
+            case Type::put_job: {
                 auto record = wire::job_record(change.job);
                 bytes += size_of(record);
                 if (bytes > most_bytes && !batch.changes.empty()) return batch;
-                batch.conditions.push_back({keys::job(change.id), change.stamp});
-                if (change.stamp == 0) batch.conditions.push_back({keys::over(change.id), 0});
+                batch.conditions.push_back({keys::job(change.id), change.mod_revision});
+                if (change.mod_revision == 0)
+                    batch.conditions.push_back({keys::over(change.id), 0});
                 batch.operations.push_back({keys::job(change.id), std::move(record), {}});
                 break;
             }
-            case What::finish_job:
-                batch.conditions.push_back({keys::job(change.id), change.stamp});
+            case Type::finish_job:
+                batch.conditions.push_back({keys::job(change.id), change.mod_revision});
                 batch.conditions.push_back({keys::over(change.id), 0});
-                if (change.stamp != 0)
+                if (change.mod_revision != 0)
                     batch.operations.push_back({keys::job(change.id), std::nullopt, {}});
                 batch.operations.push_back(
-                    {keys::over(change.id), wire::final_record(change.job), {}});
+                    {keys::over(change.id), wire::terminal_record(change.job), {}});
                 break;
-            case What::put_machine:
-                batch.conditions.push_back({keys::machine(change.id), change.stamp});
+            case Type::put_machine:
+                batch.conditions.push_back({keys::machine(change.id), change.mod_revision});
                 batch.operations.push_back(
                     {keys::machine(change.id), wire::machine_record(change.machine), {}});
                 break;
-            case What::drop_machine:
-                batch.conditions.push_back({keys::machine(change.id), change.stamp});
+            case Type::drop_machine:
+                batch.conditions.push_back({keys::machine(change.id), change.mod_revision});
                 batch.operations.push_back({keys::machine(change.id), std::nullopt, {}});
                 break;
         }
@@ -98,23 +105,24 @@
     return batch;
 }
 
-void Recorder::settle(const Batch& batch, const Txn& txn) {
+void StateWriter::settle(const Batch& batch, const CasResult& cas_result) {
     for (const auto& change : batch.changes)
-        if (change.what == core::Change::What::finish_job) finals_.put(change.id, change.job.final);
-    const std::lock_guard lock(office_.mutex);
-    if (!office_.controller || office_.controller->epoch() != batch.epoch) return;
+        if (change.type == core::RecordWrite::Type::finish_job)
+            terminal_states_.put(change.id, change.job.terminal_state);
+    const std::lock_guard lock(leader_state_.mutex);
+    if (!leader_state_.controller || leader_state_.controller->term() != batch.term) return;
     for (const auto& change : batch.changes)
-        if (change.what == core::Change::What::finish_job)
-            office_.news.ended(change.id, txn.revision);
-    office_.controller->written(batch.changes, txn.revision, Clock::now());
-    office_.recorded.notify_all();
-    office_.want_place();
+        if (change.type == core::RecordWrite::Type::finish_job)
+            leader_state_.news.ended(change.id, cas_result.revision);
+    leader_state_.controller->written(batch.changes, cas_result.revision, Clock::now());
+    leader_state_.recorded.notify_all();
+    leader_state_.want_place();
 }
 
 // Guard against a standstill of all writing: one record that the state service calls malformed, too
 // large perhaps, kept everything written with it from being recorded, for ever. The changes are
 // written one by one; what is refused alone waits, and the others go on.
-void Recorder::find_unwritable(const Batch& batch) {
+void StateWriter::find_unwritable(const Batch& batch) {
     if (batch.changes.size() > 1) {
         alone_ = batch.changes.size();
         return;
@@ -125,66 +133,69 @@
 }
 
 // A condition did not hold: an earlier write whose answer was lost had been executed after all,
-// or another controller acts. Each record in question is read and its stamp taken over.
-void Recorder::read_back(const Batch& batch, const Txn& txn) {
+// or another controller acts. Each record in question is read and its mod_revision taken over.
+void StateWriter::read_back(const Batch& batch, const CasResult& cas_result) {
     const auto failed = [&](const std::string& key) {
-        return std::find(txn.failed.begin(), txn.failed.end(), key) != txn.failed.end();
+        return std::find(cas_result.failed.begin(), cas_result.failed.end(), key) !=
+               cas_result.failed.end();
     };
-    if (failed(keys::steward)) {
+    if (failed(keys::leader)) {
         spdlog::info("a write was refused: another controller acts");
         std::this_thread::sleep_for(most_pause);
         return;
     }
-    using What = core::Change::What;
+    using Type = core::RecordWrite::Type;
     for (const auto& change : batch.changes) {
-        const bool job = change.what == What::put_job || change.what == What::finish_job;
+        const bool job = change.type == Type::put_job || change.type == Type::finish_job;
         const auto key = job ? keys::job(change.id) : keys::machine(change.id);
         if (!failed(key) && !(job && failed(keys::over(change.id)))) continue;
         const auto record = store_.get(key);
-        if (record.outcome != Outcome::ok && record.outcome != Outcome::absent) return;
-        std::optional<core::Final> final;
-        std::uint64_t final_stamp = 0;
+        if (record.outcome != StoreStatus::ok && record.outcome != StoreStatus::absent) return;
+        std::optional<core::TerminalState> terminal_state;
+        std::uint64_t terminal_mod_revision = 0;
         if (job) {
             const auto over = store_.get(keys::over(change.id));
-            if (over.outcome == Outcome::ok) {
-                final = wire::parse_final(over.entry.value);
-                final_stamp = over.entry.stamp;
-            } else if (over.outcome != Outcome::absent) {
+            if (over.outcome == StoreStatus::ok) {
+                terminal_state = wire::parse_terminal_record(over.entry.value);
+                terminal_mod_revision = over.entry.mod_revision;
+            } else if (over.outcome != StoreStatus::absent) {
                 return;
             }
         }
-        if (final) finals_.put(change.id, *final);
+        if (terminal_state) terminal_states_.put(change.id, *terminal_state);
         // Guard: an id submitted with two bodies, at two controllers at once, ran as the one that
         // was not recorded first.
         std::optional<core::JobRecord> elsewhere;
-        if (change.what == What::put_job && record.outcome == Outcome::ok)
+        if (change.type == Type::put_job && record.outcome == StoreStatus::ok)
             elsewhere = wire::parse_job_record(record.entry.value);
         if (elsewhere && !elsewhere->home.empty()) elsewhere.reset();
-        const std::lock_guard lock(office_.mutex);
-        auto* controller = office_.controller.get();
-        if (!controller || controller->epoch() != batch.epoch) return;
-        if (final) office_.news.ended(change.id, final_stamp);
+        const std::lock_guard lock(leader_state_.mutex);
+        auto* controller = leader_state_.controller.get();
+        if (!controller || controller->term() != batch.term) return;
+        if (terminal_state) leader_state_.news.ended(change.id, terminal_mod_revision);
         // Guard against went_back: what is told of the job is what the record says, not what the
         // refused write would have said.
-        if (final)
-            controller->over_by_record(change.id, *final, Clock::now());
+        if (terminal_state)
+            controller->finished_by_record(change.id, *terminal_state, Clock::now());
         else if (elsewhere)
-            controller->found_elsewhere(*elsewhere, record.entry.stamp, Clock::now());
+            controller->found_elsewhere(*elsewhere, record.entry.mod_revision, Clock::now());
         else
-            controller->restamp(change.what, change.id,
-                                record.outcome == Outcome::ok ? record.entry.stamp : 0);
-        office_.recorded.notify_all();
+            controller->set_mod_revision(
+                change.type, change.id,
+                record.outcome == StoreStatus::ok ? record.entry.mod_revision : 0);
+        leader_state_.recorded.notify_all();
     }
 }
 
-void Recorder::run() {
+void StateWriter::run() {
     std::mt19937 random(std::random_device{}());
     milliseconds pause = pause_after_refusal;
     auto may_write = Clock::now();
     for (;;) {
         {
-            std::unique_lock lock(office_.mutex);
-            office_.write_wanted.wait_for(lock, look_anyway, [&] { return office_.write_pending; });
+            std::unique_lock lock(leader_state_.mutex);
+            leader_state_.write_wanted.wait_for(lock, look_anyway,
+                                                [&] { return leader_state_.write_pending; });
         }
         std::this_thread::sleep_for(gather_time);
         std::this_thread::sleep_until(may_write);
@@ -193,19 +204,19 @@
         const std::chrono::duration<double> cost{static_cast<double>(batch.operations.size()) /
                                                  (limits_.writes_per_s * budget_share)};
         may_write = Clock::now() + std::chrono::duration_cast<Clock::duration>(cost);
-        const auto txn = store_.transact(batch.conditions, batch.operations);
+        const auto cas_result = store_.compare_and_swap(batch.conditions, batch.operations);
         if (alone_ > 0) --alone_;
-        if (txn.outcome == Outcome::ok) {
+        if (cas_result.outcome == StoreStatus::ok) {
             pause = pause_after_refusal;
-            settle(batch, txn);
+            settle(batch, cas_result);
             continue;
         }
-        if (txn.outcome == Outcome::conflict) {
-            read_back(batch, txn);
+        if (cas_result.outcome == StoreStatus::conflict) {
+            read_back(batch, cas_result);
             continue;
         }
-        if (txn.outcome != Outcome::unknown) not_executed(batch);
-        if (txn.outcome == Outcome::invalid) {
+        if (cas_result.outcome != StoreStatus::unknown) not_executed(batch);
+        if (cas_result.outcome == StoreStatus::invalid) {
             find_unwritable(batch);
             continue;
         }
--- a/src/app/recorder.hpp
+++ b/src/app/recorder.hpp
@@ -22,33 +22,35 @@
 inline std::string machine(const std::string& name) {
     return "machine/" + name;
 }
-inline constexpr const char* steward = "steward";
+inline constexpr const char* leader = "steward";
 }  // namespace keys
 
-class Recorder {
+class StateWriter {
   public:
-    Recorder(Office& office, StateStore& store, FinalCache& finals, StateLimits limits);
+    StateWriter(LeaderState& leader_state, KeyValueStore& store,
+                TerminalStateCache& terminal_states, StateLimits limits);
     // Runs until the process ends.
     void run();
 
   private:
     struct Batch {
-        std::uint64_t epoch = 0;
-        std::vector<core::Change> changes;
+        std::uint64_t term = 0;
+        std::vector<core::RecordWrite> changes;
         std::vector<wire::Condition> conditions;
         std::vector<wire::Operation> operations;
-        std::vector<std::string> finals;  // jobs whose final state is sent for the first time
+        std::vector<std::string>
+            terminal_states;  // jobs whose final state is sent for the first time
     };
     Batch gather();
     Batch fill();
     void not_executed(const Batch& batch);
-    void settle(const Batch& batch, const Txn& txn);
+    void settle(const Batch& batch, const CasResult& cas_result);
     void find_unwritable(const Batch& batch);
-    void read_back(const Batch& batch, const Txn& txn);
+    void read_back(const Batch& batch, const CasResult& cas_result);
 
-    Office& office_;
-    StateStore& store_;
-    FinalCache& finals_;
+    LeaderState& leader_state_;
+    KeyValueStore& store_;
+    TerminalStateCache& terminal_states_;
     StateLimits limits_;
     std::size_t alone_ = 0;  // so many changes are written one by one
     // By id of job or name of machine, with when they are tried again.
--- a/src/app/renewals.hpp
+++ b/src/app/renewals.hpp
@@ -6,9 +6,11 @@
 // only by who knows all confirmed cancellations and orders the stops in the same answer, or for a
 // bounded time after it last knew them (docs/troubles.md, "What a confirmed cancellation needs").
 //
-//  - `RoleProof`, at the controller that acts: that no other one has confirmed anything, after its
-//    own lease in the state service is no longer valid; and which siblings know what it confirms.
-//  - `LastWord`, at one that does not: what is cancelled, by the word of the one that acts or, with
+//  - `LeadershipProof`, at the controller that acts: that no other one has confirmed anything,
+//  after its
+//    own lease in the state service is no longer valid; and which peers know what it confirms.
+//  - `CancellationReplica`, at one that does not: what is cancelled, by the word of the one that
+//  acts or, with
 //    that one lost, by the words of a majority.
 #pragma once
 
@@ -25,35 +27,35 @@
 namespace bendspindle::app {
 
 // How long after it last knew all confirmed cancellations a controller may renew leases.
-core::Seconds renewal_bound(const core::WorkerTimes& workers);
+core::Seconds renewal_bound(const core::AgentTimings& workers);
 
-// Of so many controllers, this one included: siblings that make a majority with this one.
-inline std::size_t siblings_of_a_majority(std::size_t controllers) {
+// Of so many controllers, this one included: peers that make a majority with this one.
+inline std::size_t peers_of_a_majority(std::size_t controllers) {
     return controllers / 2;
 }
 // Siblings, besides the one that acts, of which any majority among the others has a member.
-inline std::size_t siblings_in_every_majority(std::size_t controllers) {
+inline std::size_t peers_in_every_majority(std::size_t controllers) {
     return controllers - controllers / 2 - 1;
 }
 
-class RoleProof {
+class LeadershipProof {
   public:
     // `controllers`: as the settings name them, this one included.
-    RoleProof(const core::WorkerTimes& workers, std::size_t controllers)
+    LeadershipProof(const core::AgentTimings& workers, std::size_t controllers)
         : bound_(renewal_bound(workers)), controllers_(controllers) {}
     // It has taken the role.
     void begin(core::TimePoint now);
-    // A sibling that was asked at `asked` knows the view and none after this controller's epoch.
-    void vouched(const std::string& sibling, core::TimePoint asked);
-    // A sibling has answered that it knows of this controller's epoch.
-    void acknowledged(const std::string& sibling) { acknowledged_.insert(sibling); }
+    // A peer that was asked at `asked` knows the view and none after this controller's term.
+    void vouched(const std::string& peer, core::TimePoint asked);
+    // A peer has answered that it knows of this controller's term.
+    void acknowledged(const std::string& peer) { acknowledged_.insert(peer); }
     // Whether a former controller can no longer find a majority that vouches for it.
     bool known_to_enough() const;
-    // A sibling may have been told a word by this controller at `now`.
-    void gave_word(const std::string& sibling, core::TimePoint now) { words_[sibling] = now; }
-    // Whether a cancellation that these siblings know of may be confirmed: no majority without this
+    // A peer may have been told a word by this controller at `now`.
+    void gave_word(const std::string& peer, core::TimePoint now) { words_[peer] = now; }
+    // Whether a cancellation that these peers know of may be confirmed: no majority without this
     // controller lacks it, or whoever does has had no word for so long that it renews nothing.
-    bool may_confirm(const std::set<std::string>& told, const std::set<std::string>& siblings,
+    bool may_confirm(const std::set<std::string>& told, const std::set<std::string>& peers,
                      core::TimePoint now) const;
     // Until when nobody else can have acted, as far as is known. `lease_end`: of its own lease.
     core::TimePoint sole_until(core::TimePoint lease_end, core::TimePoint now) const;
@@ -68,9 +70,9 @@
     std::map<std::string, core::TimePoint> words_;
 };
 
-class LastWord {
+class CancellationReplica {
   public:
-    LastWord(const core::WorkerTimes& workers, std::size_t controllers)
+    CancellationReplica(const core::AgentTimings& workers, std::size_t controllers)
         : bound_(renewal_bound(workers)),
           memory_(workers.cancel * 2),
           needed_memory_(workers.cancel),
@@ -80,14 +82,16 @@
     // The acting controller is about to confirm a cancellation; or this one is, which acts.
     void cancelled(const std::string& job, core::TimePoint now);
     // The acting controller's answer to a question sent at `asked`.
-    void told(const wire::peer::Word& word, core::TimePoint asked);
-    // The answer of a sibling that knows of the same epoch and none after it.
-    void answered(const std::string& sibling, const wire::peer::Word& word, core::TimePoint asked);
+    void told(const wire::peer::CancellationSnapshot& word, core::TimePoint asked);
+    // The answer of a peer that knows of the same term and none after it.
+    void answered(const std::string& peer, const wire::peer::CancellationSnapshot& word,
+                  core::TimePoint asked);
     // What it would answer itself, as one that does not act.
-    wire::peer::Word word(core::TimePoint now) const;
+    wire::peer::CancellationSnapshot word(core::TimePoint now) const;
     bool may_renew(core::TimePoint now) const;
     // Stops for what runs of cancelled jobs.
-    std::vector<core::Order> stops(const core::Report& report, core::TimePoint now) const;
+    std::vector<core::TaskCommand> stops(const core::Heartbeat& heartbeat,
+                                         core::TimePoint now) const;
 
   private:
     using Jobs = std::map<std::string, core::TimePoint>;  // with when they are forgotten
@@ -102,7 +106,7 @@
     std::optional<core::TimePoint> complete_until_;  // all that was confirmed up to then is known
     std::map<std::string, core::TimePoint> answers_;
     Jobs told_;
-    Jobs gathered_;  // of siblings' memory: not told on, or it would go round for ever
+    Jobs gathered_;  // of peers' memory: not told on, or it would go round for ever
 };
 
 }  // namespace bendspindle::app
--- a/src/app/reply.hpp
+++ b/src/app/reply.hpp
@@ -7,14 +7,14 @@
 
 namespace bendspindle::app {
 
-struct Reply {
+struct Response {
     int status = 503;
     int retry_after = 0;  // seconds; 0: none
     std::string body;
 };
 
 // Not now: the same may be asked again after so many seconds, or of another controller.
-inline Reply busy(const std::string& why, int retry_after = 1) {
+inline Response unavailable(const std::string& why, int retry_after = 1) {
     return {503, retry_after, wire::error_body(why)};
 }
 
--- a/src/app/report_desk.cpp
+++ b/src/app/report_desk.cpp
@@ -11,121 +11,125 @@
 
 namespace {
 
-const char* name_of(core::Order::Verb verb) {
+const char* name_of(core::TaskCommand::Verb verb) {
     switch (verb) {
-        case core::Order::Verb::start:
+        case core::TaskCommand::Verb::start:
             return "start";
-        case core::Order::Verb::stop:
+        case core::TaskCommand::Verb::stop:
             return "stop";
-        case core::Order::Verb::forget:
+        case core::TaskCommand::Verb::acknowledge:
             return "forget";
     }
     return "";
 }
 
-void log_answer(const core::Report& report, const core::DispatchCounts& before,
-                const core::DispatchCounts& after, const std::vector<core::Order>& orders) {
+void log_answer(const core::Heartbeat& heartbeat, const core::AgentCounters& before,
+                const core::AgentCounters& after, const std::vector<core::TaskCommand>& commands) {
     if (after.lost != before.lost || after.errors != before.errors)
-        spdlog::debug("{}: lost {}, errors {}", report.machine, after.lost - before.lost,
+        spdlog::debug("{}: lost {}, errors {}", heartbeat.machine, after.lost - before.lost,
                       after.errors - before.errors);
-    for (const auto& order : orders)
-        spdlog::debug("{}: {} {}/{} try {}", report.machine, name_of(order.verb), order.job,
-                      order.index, order.attempt);
+    for (const auto& command : commands)
+        spdlog::debug("{}: {} {}/{} try {}", heartbeat.machine, name_of(command.verb), command.job,
+                      command.index, command.attempt);
 }
 
 }  // namespace
 
-ReportDesk::ReportDesk(const core::WorkerTimes& workers, Office& office, Role& role, Peers& peers,
-                       CancellationReplication& replication, ClockFunction clock)
-    : office_(office),
-      role_(role),
+HeartbeatHandler::HeartbeatHandler(const core::AgentTimings& workers, LeaderState& leader_state,
+                                   Leadership& leadership, Peers& peers,
+                                   CancellationReplication& replication, ClockFunction clock)
+    : leader_state_(leader_state),
+      leadership_(leadership),
       peers_(peers),
       replication_(replication),
       clock_(std::move(clock)),
-      visits_(workers.report),
-      reach_(workers.report) {}
+      routing_(workers.heartbeat),
+      reachability_(workers.heartbeat) {}
 
-void ReportDesk::took_over() {
+void HeartbeatHandler::on_elected() {
     const std::lock_guard lock(mutex_);
-    reach_.begin(clock_());
+    reachability_.begin(clock_());
 }
 
-bool ReportDesk::unreached() {
+bool HeartbeatHandler::unreached() {
     const std::lock_guard lock(mutex_);
-    if (!reach_.lost(clock_())) return false;
-    reach_.begin(clock_());
+    if (!reachability_.lost(clock_())) return false;
+    reachability_.begin(clock_());
     return true;
 }
 
-Reply ReportDesk::report(const std::string& body, From from) {
-    const auto report = wire::parse_report(body);
-    if (!report) return {400, 0, wire::error_body("malformed report")};
-    const auto standing = role_.standing();
-    if (!standing.acting) {
-        if (from == From::sibling) return busy("another controller acts");
-        return at_follower(*report, body, standing);
+Response HeartbeatHandler::heartbeat(const std::string& body, RequestOrigin from) {
+    const auto heartbeat = wire::parse_heartbeat(body);
+    if (!heartbeat) return {400, 0, wire::error_body("malformed report")};
+    const auto status = leadership_.status();
+    if (!status.leading) {
+        if (from == RequestOrigin::peer) return unavailable("another controller acts");
+        return at_follower(*heartbeat, body, status);
     }
     // Guard: a worker that knows a newer token would drop the answer and stay with this node
     // until its lease is gone.
-    if (report->token > standing.epoch) {
-        role_.suspect(report->token);
-        return busy("another controller acts");
+    if (heartbeat->fencing_token > status.term) {
+        leadership_.observe_newer_term(heartbeat->fencing_token);
+        return unavailable("another controller acts");
     }
     {
         const std::lock_guard lock(mutex_);
-        reach_.heard(report->machine, from == From::sibling, clock_());
+        reachability_.record_heartbeat(heartbeat->machine, from == RequestOrigin::peer, clock_());
     }
-    return at_leader(*report, standing.epoch);
+    return at_leader(*heartbeat, status.term);
 }
 
-Reply ReportDesk::at_leader(const core::Report& report, std::uint64_t epoch) {
-    const std::lock_guard lock(office_.mutex);
-    if (!replication_.may_renew()) return busy("another controller may act");
+Response HeartbeatHandler::at_leader(const core::Heartbeat& heartbeat, std::uint64_t term) {
+    const std::lock_guard lock(leader_state_.mutex);
+    if (!replication_.may_renew()) return unavailable("another controller may act");
     // Guard against ran_cancelled: before the records are loaded this controller knows no more than
     // a follower, and renews no more than one. Each of several leaders that follow each other
     // quickly used to give every machine another lease, and none of them a stop.
-    if (!office_.controller) return renew_unheard(report, epoch);
-    const auto before = office_.controller->counts();
-    const auto answer = office_.controller->report(report, clock_());
-    if (!answer.entitled) return busy("another controller acts");
-    log_answer(report, before, office_.controller->counts(), answer.orders);
-    office_.want_write();
-    const bool changed = std::any_of(report.tasks.begin(), report.tasks.end(), [](const auto& t) {
-        return t.state == core::TaskState::exited;
-    });
-    if (changed) office_.want_place();
-    return {200, 0, wire::orders_body(answer.token, answer.orders)};
+    if (!leader_state_.controller) return renew_without_leader(heartbeat, term);
+    const auto before = leader_state_.controller->counts();
+    const auto answer = leader_state_.controller->heartbeat(heartbeat, clock_());
+    if (!answer.entitled) return unavailable("another controller acts");
+    log_answer(heartbeat, before, leader_state_.controller->counts(), answer.commands);
+    leader_state_.want_write();
+    const bool changed =
+        std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
+                    [](const auto& t) { return t.state == core::TaskState::exited; });
+    if (changed) leader_state_.want_place();
+    return {200, 0, wire::commands_body(answer.fencing_token, answer.commands)};
 }
 
-Reply ReportDesk::at_follower(const core::Report& report, const std::string& body,
-                              const Standing& standing) {
-    if (report.token > standing.epoch) role_.suspect(report.token);
-    if (standing.steward.empty() || report.token > standing.epoch)
+Response HeartbeatHandler::at_follower(const core::Heartbeat& heartbeat, const std::string& body,
+                                       const LeadershipStatus& status) {
+    if (heartbeat.fencing_token > status.term)
+        leadership_.observe_newer_term(heartbeat.fencing_token);
+    if (status.leader.empty() || heartbeat.fencing_token > status.term)
         return {503, 0, wire::error_body("no view")};
-    const bool knows_steward = report.token == standing.epoch;
+    const bool knows_leader = heartbeat.fencing_token == status.term;
     bool there = false;
     {
         const std::lock_guard lock(mutex_);
-        there = visits_.send_there(report.machine, knows_steward, clock_());
+        there = routing_.send_there(heartbeat.machine, knows_leader, clock_());
     }
-    if (there) return {421, 0, wire::redirect_body(standing.steward)};
+    if (there) return {421, 0, wire::redirect_body(status.leader)};
     // The worker cannot reach the leader: its report is handed on.
-    if (auto reply = hand_to_leader(wire::peer::Op::report, report.machine, body, role_, peers_);
-        reply && reply->status == 200)
-        return *reply;
-    return renew_unheard(report, standing.epoch);
+    if (auto response = forward_to_leader(wire::peer::Op::heartbeat, heartbeat.machine, body,
+                                          leadership_, peers_);
+        response && response->status == 200)
+        return *response;
+    return renew_without_leader(heartbeat, status.term);
 }
 
 // The token is still the last one known, so the worker may go on; whoever acts next confirms it.
 // Guard against ran_cancelled: with nobody who acts such answers kept tasks alive, for as long as
 // an outage lasted, whose users had been told that they are cancelled.
-Reply ReportDesk::renew_unheard(const core::Report& report, std::uint64_t epoch) {
-    const auto stops = replication_.renew_unheard(report);
-    if (!stops) return busy("nobody is known to act");
-    for (const auto& order : *stops)
-        spdlog::info("{}: stop {}/{}, cancelled, with nobody at hand who acts", report.machine,
-                     order.job, order.index);
-    return {200, 0, wire::orders_body(epoch, *stops)};
+Response HeartbeatHandler::renew_without_leader(const core::Heartbeat& heartbeat,
+                                                std::uint64_t term) {
+    const auto stops = replication_.renew_without_leader(heartbeat);
+    if (!stops) return unavailable("nobody is known to act");
+    for (const auto& command : *stops)
+        spdlog::info("{}: stop {}/{}, cancelled, with nobody at hand who acts", heartbeat.machine,
+                     command.job, command.index);
+    return {200, 0, wire::commands_body(term, *stops)};
 }
 
 }  // namespace bendspindle::app
--- a/src/app/report_desk.hpp
+++ b/src/app/report_desk.hpp
@@ -19,35 +19,36 @@
 
 namespace bendspindle::app {
 
-enum class From : std::uint8_t { outside, sibling };
+enum class RequestOrigin : std::uint8_t { client, peer };
 
-class ReportDesk {
+class HeartbeatHandler {
   public:
     // All of these outlive it.
-    ReportDesk(const core::WorkerTimes& workers, Office& office, Role& role, Peers& peers,
-               CancellationReplication& replication, ClockFunction clock = steady_clock());
+    HeartbeatHandler(const core::AgentTimings& workers, LeaderState& leader_state,
+                     Leadership& leadership, Peers& peers, CancellationReplication& replication,
+                     ClockFunction clock = steady_clock());
 
-    Reply report(const std::string& body, From from);
+    Response heartbeat(const std::string& body, RequestOrigin from);
     // This controller has become the leader.
-    void took_over();
+    void on_elected();
     // Whether workers have lately reached peers only. Once true, it begins to watch anew.
     bool unreached();
 
   private:
-    Reply at_leader(const core::Report& report, std::uint64_t epoch);
-    Reply at_follower(const core::Report& report, const std::string& body,
-                      const Standing& standing);
+    Response at_leader(const core::Heartbeat& heartbeat, std::uint64_t term);
+    Response at_follower(const core::Heartbeat& heartbeat, const std::string& body,
+                         const LeadershipStatus& status);
     // Without the leader at hand: for a bounded time the worker may go on.
-    Reply renew_unheard(const core::Report& report, std::uint64_t epoch);
+    Response renew_without_leader(const core::Heartbeat& heartbeat, std::uint64_t term);
 
-    Office& office_;
-    Role& role_;
+    LeaderState& leader_state_;
+    Leadership& leadership_;
     Peers& peers_;
     CancellationReplication& replication_;
     const ClockFunction clock_;
     std::mutex mutex_;
-    Visits visits_;
-    Reach reach_;
+    HeartbeatRouting routing_;
+    LeaderReachability reachability_;
 };
 
 }  // namespace bendspindle::app
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -40,15 +40,15 @@
 constexpr milliseconds stop_step{20};
 constexpr milliseconds longest_stop{3000};
 
-core::JobStatus final_status(core::Final final) {
-    return core::JobStatus{final, 0, 0};
+core::JobStatus terminal_status(core::TerminalState terminal_state) {
+    return core::JobStatus{terminal_state, 0, 0};
 }
 
 // Whether others may have told a newer state than this answer's since it was asked for.
-bool aged(const Reply& reply, std::chrono::steady_clock::time_point asked) {
+bool aged(const Response& response, std::chrono::steady_clock::time_point asked) {
     if (std::chrono::steady_clock::now() - asked <= told_within) return false;
-    if (reply.status == 404) return true;
-    return reply.status == 200 && !wire::final_in_status(reply.body);
+    if (response.status == 404) return true;
+    return response.status == 200 && !wire::terminal_state_in_status(response.body);
 }
 
 }  // namespace
@@ -57,51 +57,53 @@
     : settings_(std::move(settings)),
       own_(std::move(own)),
       store_(settings_.state),
-      finals_(own_.finals_cached),
-      membership_(store_, settings_.name, own_.lease,
-                  {[this](std::uint64_t epoch, std::uint64_t stamp) { take_over(epoch, stamp); },
-                   [this] { stand_down(); }}),
+      terminal_states_(own_.terminal_states_cached),
+      elector_(store_, settings_.name, own_.lease,
+               {[this](std::uint64_t term, std::uint64_t mod_revision) {
+                    take_over(term, mod_revision);
+                },
+                [this] { on_deposed(); }}),
       peers_(peer_names(settings_), socket_link(settings_)),
-      replication_(settings_.name, settings_.workers, membership_, peers_),
-      recorder_(office_, store_, finals_, settings_.state_limits),
-      acceptor_(store_, settings_.state_limits),
-      cloud_(office_, settings_, [this] { return membership_.lease_valid(); }),
-      courier_(office_),
-      reports_(settings_.workers, office_, membership_, peers_, replication_),
+      replication_(settings_.name, settings_.workers, elector_, peers_),
+      state_writer_(leader_state_, store_, terminal_states_, settings_.state_limits),
+      job_admission_(store_, settings_.state_limits),
+      cloud_(leader_state_, settings_, [this] { return elector_.lease_valid(); }),
+      agent_commands_(leader_state_),
+      heartbeats_(settings_.workers, leader_state_, elector_, peers_, replication_),
       poll_reads_(std::max(settings_.state_limits.requests_per_s * share_for_polls /
-                               static_cast<double>(settings_.siblings.size() + 1),
+                               static_cast<double>(settings_.peers.size() + 1),
                            1.0),
                   polls_in_hand) {}
 
-void Service::take_over(std::uint64_t epoch, std::uint64_t steward_stamp) {
-    reports_.took_over();
-    replication_.took_over();
+void Service::take_over(std::uint64_t term, std::uint64_t leader_key_revision) {
+    heartbeats_.on_elected();
+    replication_.on_elected();
     // Loading runs beside the renewal of the lease, which this thread must not hold up.
-    std::thread([this, epoch, steward_stamp, log = TakeoverLog(Clock::now())]() mutable {
+    std::thread([this, term, leader_key_revision, log = FailoverProgress(Clock::now())]() mutable {
         std::unique_ptr<core::Controller> controller;
         std::optional<std::uint64_t> revision;
         for (;;) {
-            const auto now = membership_.standing();
-            if (!now.acting || now.epoch != epoch) return;
-            controller = std::make_unique<core::Controller>(core_config(settings_, own_), epoch);
+            const auto now = elector_.status();
+            if (!now.leading || now.term != term) return;
+            controller = std::make_unique<core::Controller>(core_config(settings_, own_), term);
             revision = load(*controller);
             if (revision) break;
             std::this_thread::sleep_for(load_retry);
         }
-        const std::lock_guard lock(office_.mutex);
-        const auto now = membership_.standing();
-        if (!now.acting || now.epoch != epoch) return;
-        controller->hold_finals_until(membership_.finals_from());
+        const std::lock_guard lock(leader_state_.mutex);
+        const auto now = elector_.status();
+        if (!now.leading || now.term != term) return;
+        controller->hold_terminal_states_until(elector_.terminal_states_allowed_from());
         log.loaded(*controller, Clock::now());
-        office_.takeover_log = log;
-        office_.news.begin(*revision);
-        office_.install(std::move(controller), steward_stamp);
+        leader_state_.failover_progress = log;
+        leader_state_.news.begin(*revision);
+        leader_state_.install(std::move(controller), leader_key_revision);
     }).detach();
 }
 
 std::optional<std::uint64_t> Service::load(core::Controller& controller) {
     const auto machines = store_.list("machine/");
-    if (machines.outcome != Outcome::ok) return std::nullopt;
+    if (machines.outcome != StoreStatus::ok) return std::nullopt;
     const auto now = Clock::now();
     for (const auto& entry : machines.entries) {
         const auto name = entry.key.substr(std::string("machine/").size());
@@ -111,345 +113,357 @@
         // once it shows itself (`Fleet::watch`); its record stays as it is.
         if (!machine) {
             spdlog::error("record {} cannot be read; set aside", entry.key);
-            controller.load_unreadable_machine(name, entry.stamp, now);
+            controller.load_unreadable_machine(name, entry.mod_revision, now);
             continue;
         }
-        controller.load_machine(*machine, entry.stamp, now);
+        controller.load_machine(*machine, entry.mod_revision, now);
     }
     const auto jobs = store_.list(keys::jobs);
-    if (jobs.outcome != Outcome::ok) return std::nullopt;
+    if (jobs.outcome != StoreStatus::ok) return std::nullopt;
     std::vector<std::pair<core::JobRecord, std::uint64_t>> records;
     for (const auto& entry : jobs.entries) {
         auto record = wire::parse_job_record(entry.value);
         // It stays as it is and its user is told so; all others go on.
         if (!record) {
             spdlog::error("record {} cannot be read; set aside", entry.key);
-            controller.set_aside(entry.key.substr(std::string(keys::jobs).size()));
+            controller.quarantine(entry.key.substr(std::string(keys::jobs).size()));
             continue;
         }
-        records.emplace_back(std::move(*record), entry.stamp);
+        records.emplace_back(std::move(*record), entry.mod_revision);
     }
     std::sort(records.begin(), records.end(),
               [](const auto& a, const auto& b) { return a.first.submitted < b.first.submitted; });
-    for (const auto& [record, stamp] : records) controller.load_job(record, stamp, Clock::now());
+    for (const auto& [record, mod_revision] : records)
+        controller.load_job(record, mod_revision, Clock::now());
     return jobs.revision;
 }
 
 // Records that another controller has written for jobs it accepted: nobody has adopted them yet.
-void Service::learn_jobs(const std::vector<wire::Entry>& entries, std::uint64_t revision,
-                         std::uint64_t epoch) {
-    const std::lock_guard lock(office_.mutex);
-    if (!office_.controller || office_.controller->epoch() != epoch) return;
+void Service::adopt_jobs(const std::vector<wire::Entry>& entries, std::uint64_t revision,
+                         std::uint64_t term) {
+    const std::lock_guard lock(leader_state_.mutex);
+    if (!leader_state_.controller || leader_state_.controller->term() != term) return;
     // Guard against ran_twice: without a valid lease another controller may act already, and it
     // would take this one to have known nothing of younger records. They are asked for again.
-    if (!membership_.lease_valid()) return;
+    if (!elector_.lease_valid()) return;
     bool some = false;
     for (const auto& entry : entries) {
         const auto record = wire::parse_job_record(entry.value);
         // Guard against doing finished work again, and telling its user so: a record that this
         // controller has written, or whose job is over, may be told of late.
         if (!record || !record->home.empty()) continue;
-        if (!office_.news.is_new(record->spec.id, entry.stamp)) continue;
-        some |= office_.controller->learn(*record, entry.stamp, Clock::now());
+        if (!leader_state_.news.is_new(record->spec.id, entry.mod_revision)) continue;
+        some |= leader_state_.controller->learn(*record, entry.mod_revision, Clock::now());
     }
-    office_.news.reached(revision);
-    if (some) office_.want_place();
+    leader_state_.news.reached(revision);
+    if (some) leader_state_.want_place();
 }
 
 // One that another controller has accepted a moment ago, before the news of it came. False: it is
 // not open, or is not to be learned now.
-bool Service::learn_job(const std::string& id, std::uint64_t epoch) {
+bool Service::adopt_job(const std::string& id, std::uint64_t term) {
     const auto open = store_.get(keys::job(id));
-    if (open.outcome != Outcome::ok) return false;
-    learn_jobs({open.entry}, 0, epoch);
-    const std::lock_guard lock(office_.mutex);
-    return office_.controller && office_.controller->epoch() == epoch &&
-           office_.controller->knows(id);
+    if (open.outcome != StoreStatus::ok) return false;
+    adopt_jobs({open.entry}, 0, term);
+    const std::lock_guard lock(leader_state_.mutex);
+    return leader_state_.controller && leader_state_.controller->term() == term &&
+           leader_state_.controller->knows(id);
 }
 
 void Service::learn() {
     for (;;) {
-        std::uint64_t epoch = 0;
+        std::uint64_t term = 0;
         std::uint64_t since = 0;
         {
-            const std::lock_guard lock(office_.mutex);
-            if (office_.controller) {
-                epoch = office_.controller->epoch();
-                since = office_.news.revision();
+            const std::lock_guard lock(leader_state_.mutex);
+            if (leader_state_.controller) {
+                term = leader_state_.controller->term();
+                since = leader_state_.news.revision();
             }
         }
-        if (epoch != 0) {
+        if (term != 0) {
             auto news = store_.watch(keys::jobs, since, watch_wait);
-            if (news.outcome == Outcome::too_old) news = store_.list(keys::jobs);
-            if (news.outcome == Outcome::ok) learn_jobs(news.entries, news.revision, epoch);
+            if (news.outcome == StoreStatus::too_old) news = store_.list(keys::jobs);
+            if (news.outcome == StoreStatus::ok) adopt_jobs(news.entries, news.revision, term);
         }
         // This controller's own writes end the wait too; a pause lets several come together.
         std::this_thread::sleep_for(learn_pause);
     }
 }
 
-void Service::stand_down() {
-    const std::lock_guard lock(office_.mutex);
-    if (office_.controller) replication_.stood_down(cancelled_jobs(*office_.controller));
-    office_.controller.reset();
-    office_.recorded.notify_all();
+void Service::on_deposed() {
+    const std::lock_guard lock(leader_state_.mutex);
+    if (leader_state_.controller)
+        replication_.on_deposed(cancelled_jobs(*leader_state_.controller));
+    leader_state_.controller.reset();
+    leader_state_.recorded.notify_all();
 }
 
 template <typename Ready>
 bool Service::wait_recorded(std::unique_lock<std::mutex>& lock, Ready ready) {
-    office_.want_write();
-    return office_.recorded.wait_for(lock, record_limit, ready);
+    leader_state_.want_write();
+    return leader_state_.recorded.wait_for(lock, record_limit, ready);
 }
 
-std::optional<Reply> Service::from_final(const std::string& id, bool with_counts) {
-    const auto final = finals_.get(id);
-    if (!final) return std::nullopt;
-    return Reply{200, 0, wire::status_body(id, final_status(*final), with_counts)};
+std::optional<Response> Service::from_terminal_cache(const std::string& id, bool with_counts) {
+    const auto terminal_state = terminal_states_.get(id);
+    if (!terminal_state) return std::nullopt;
+    return Response{200, 0, wire::status_body(id, terminal_status(*terminal_state), with_counts)};
 }
 
 // Guard against leases that end for a flood of questions: while nobody acts each poll reads
 // records, and the state service refused renewals and writes together with them.
-Reply Service::poll_records(const std::string& id, bool with_counts) {
+Response Service::poll_records(const std::string& id, bool with_counts) {
     {
         const std::lock_guard lock(reads_mutex_);
-        if (!poll_reads_.take(Clock::now())) return busy("too many questions at once");
+        if (!poll_reads_.take(Clock::now())) return unavailable("too many questions at once");
     }
     return from_records(id, with_counts);
 }
 
 // Of a job that this controller holds open but may tell nothing of: its first or its final record
 // is under way, or the lease is gone.
-Reply Service::known_by_records(const std::string& id, bool with_counts) {
-    auto reply = poll_records(id, with_counts);
-    return reply.status == 404 ? busy("the job is being recorded") : reply;
+Response Service::known_by_records(const std::string& id, bool with_counts) {
+    auto response = poll_records(id, with_counts);
+    return response.status == 404 ? unavailable("the job is being recorded") : response;
 }
 
-Reply Service::from_records(const std::string& id, bool with_counts) {
+Response Service::from_records(const std::string& id, bool with_counts) {
     const auto asked = Clock::now();
-    auto reply = read_records(id, with_counts);
-    return aged(reply, asked) ? read_records(id, with_counts) : reply;
+    auto response = read_records(id, with_counts);
+    return aged(response, asked) ? read_records(id, with_counts) : response;
 }
 
 // The records have the last word. The open record is read first: a job that ends between the two
 // reads is then found by the second.
-Reply Service::read_records(const std::string& id, bool with_counts) {
+Response Service::read_records(const std::string& id, bool with_counts) {
     const auto open = store_.get(keys::job(id));
-    if (open.outcome == Outcome::ok) {
+    if (open.outcome == StoreStatus::ok) {
         const auto record = wire::parse_job_record(open.entry.value);
-        if (!record) return busy("the record cannot be read");
+        if (!record) return unavailable("the record cannot be read");
         core::JobStatus status;
         for (const auto& [first, last] : record->done) status.done += last - first + 1;
         return {200, 0, wire::status_body(id, status, with_counts)};
     }
-    if (open.outcome != Outcome::absent) return busy("the state service does not answer");
+    if (open.outcome != StoreStatus::absent)
+        return unavailable("the state service does not answer");
     const auto over = store_.get(keys::over(id));
-    if (over.outcome == Outcome::ok) {
-        const auto final = wire::parse_final(over.entry.value);
-        if (!final) return busy("the record cannot be read");
-        finals_.put(id, *final);
-        return {200, 0, wire::status_body(id, final_status(*final), with_counts)};
+    if (over.outcome == StoreStatus::ok) {
+        const auto terminal_state = wire::parse_terminal_record(over.entry.value);
+        if (!terminal_state) return unavailable("the record cannot be read");
+        terminal_states_.put(id, *terminal_state);
+        return {200, 0, wire::status_body(id, terminal_status(*terminal_state), with_counts)};
     }
-    if (over.outcome != Outcome::absent) return busy("the state service does not answer");
+    if (over.outcome != StoreStatus::absent)
+        return unavailable("the state service does not answer");
     return {404, 0, wire::error_body("no such job")};
 }
 
-Reply Service::accept_elsewhere(const core::JobSpec& spec) {
-    const auto verdict = core::judge(spec, settings_.teams, office_.types());
-    if (verdict == core::Verdict::not_ready) return busy("machine types are not known yet");
+Response Service::accept_elsewhere(const core::JobSpec& spec) {
+    const auto verdict = core::judge(spec, settings_.teams, leader_state_.types());
+    if (verdict == core::Verdict::not_ready) return unavailable("machine types are not known yet");
     if (verdict == core::Verdict::never_fits) {
         // It may have been accepted before teams or types changed; accepted stays accepted.
-        auto reply = from_records(spec.id, false);
-        if (reply.status == 404) return {422, 0, wire::error_body("the job can never run")};
-        return reply;
+        auto response = from_records(spec.id, false);
+        if (response.status == 404) return {422, 0, wire::error_body("the job can never run")};
+        return response;
     }
     core::JobRecord record;
     record.spec = spec;
     record.submitted = std::chrono::system_clock::now();
-    const auto answer = acceptor_.accept(std::move(record));
-    if (answer.outcome == Acceptor::Outcome::failed)
-        return busy("the job could not be recorded in time");
-    const bool accepted = answer.outcome == Acceptor::Outcome::accepted;
+    const auto answer = job_admission_.accept(std::move(record));
+    if (answer.outcome == JobAdmission::Result::failed)
+        return unavailable("the job could not be recorded in time");
+    const bool accepted = answer.outcome == JobAdmission::Result::accepted;
     if (accepted && Clock::now() - answer.sent <= accepted_within)
         return {201, 0, wire::status_body(spec.id, core::JobStatus{}, false)};
     // Guard against went_back: with the transaction's answer held up for a second the 201 "queued"
     // left after others had told the job's end.
-    auto reply = from_records(spec.id, false);
-    if (reply.status == 404) return busy("the record is changing");
-    if (accepted && reply.status == 200) reply.status = 201;
-    return reply;
+    auto response = from_records(spec.id, false);
+    if (response.status == 404) return unavailable("the record is changing");
+    if (accepted && response.status == 200) response.status = 201;
+    return response;
 }
 
-Reply Service::submit(const std::string& body) {
+Response Service::submit(const std::string& body) {
     const auto parsed = wire::parse_job(body);
     if (!parsed.job) return {400, 0, wire::error_body(parsed.error)};
     const auto& id = parsed.job->id;
-    if (auto reply = from_final(id, false)) return *reply;
-    if (!membership_.standing().acting) return accept_elsewhere(*parsed.job);
-    if (!membership_.lease_valid()) return busy("the state service does not answer", 2);
+    if (auto response = from_terminal_cache(id, false)) return *response;
+    if (!elector_.status().leading) return accept_elsewhere(*parsed.job);
+    if (!elector_.lease_valid()) return unavailable("the state service does not answer", 2);
 
-    std::unique_lock lock(office_.mutex);
-    if (!office_.controller) {
+    std::unique_lock lock(leader_state_.mutex);
+    if (!leader_state_.controller) {
         lock.unlock();
         return accept_elsewhere(*parsed.job);
     }
     // Guard against overwriting what another version may be able to read.
-    if (office_.controller->aside(id)) return busy("the record cannot be read", 5);
-    const auto verdict = office_.controller->check(*parsed.job);
-    if (verdict == core::Verdict::not_ready) return busy("machine types are not known yet");
-    if (verdict == core::Verdict::never_fits && !office_.controller->knows(id)) {
+    if (leader_state_.controller->quarantined(id))
+        return unavailable("the record cannot be read", 5);
+    const auto verdict = leader_state_.controller->check(*parsed.job);
+    if (verdict == core::Verdict::not_ready) return unavailable("machine types are not known yet");
+    if (verdict == core::Verdict::never_fits && !leader_state_.controller->knows(id)) {
         lock.unlock();
         // It may have been accepted before teams or types changed; accepted stays accepted.
-        auto reply = from_records(id, false);
-        if (reply.status == 404) return {422, 0, wire::error_body("the job can never run")};
-        return reply;
+        auto response = from_records(id, false);
+        if (response.status == 404) return {422, 0, wire::error_body("the job can never run")};
+        return response;
     }
-    const bool fresh =
-        office_.controller->accept(*parsed.job, std::chrono::system_clock::now(), Clock::now());
+    const bool fresh = leader_state_.controller->accept(
+        *parsed.job, std::chrono::system_clock::now(), Clock::now());
     wait_recorded(lock, [&] {
-        return !office_.controller || !office_.controller->knows(id) ||
-               office_.controller->durable(id);
+        return !leader_state_.controller || !leader_state_.controller->knows(id) ||
+               leader_state_.controller->durable(id);
     });
     // Guard against went_back: the wait may have been long, and the lease is gone since.
-    if (office_.controller && membership_.lease_valid())
-        if (const auto status = office_.controller->status(id))
-            return {fresh && !office_.controller->found(id) ? 201 : 200, 0,
+    if (leader_state_.controller && elector_.lease_valid())
+        if (const auto status = leader_state_.controller->status(id))
+            return {fresh && !leader_state_.controller->found(id) ? 201 : 200, 0,
                     wire::status_body(id, *status, false)};
     lock.unlock();
     // Over already, or a write has not come through.
-    if (auto reply = from_final(id, false)) return *reply;
+    if (auto response = from_terminal_cache(id, false)) return *response;
     return known_by_records(id, false);
 }
 
-Reply Service::status(const std::string& id, From from) {
+Response Service::status(const std::string& id, RequestOrigin from) {
     if (!wire::valid_job_id(id)) return {404, 0, wire::error_body("no such job")};
-    if (auto reply = from_final(id, true)) return *reply;
-    if (!membership_.standing().acting) {
-        if (from == From::sibling) return busy("another controller acts");
+    if (auto response = from_terminal_cache(id, true)) return *response;
+    if (!elector_.status().leading) {
+        if (from == RequestOrigin::peer) return unavailable("another controller acts");
         const auto asked = Clock::now();
-        auto reply = hand_to_leader(wire::peer::Op::status, id, {}, membership_, peers_);
-        if (reply && reply->status != 503 && !aged(*reply, asked)) {
+        auto response = forward_to_leader(wire::peer::Op::status, id, {}, elector_, peers_);
+        if (response && response->status != 503 && !aged(*response, asked)) {
             // Final for good: the next to ask here needs nobody else.
-            if (const auto final = wire::final_in_status(reply->body)) finals_.put(id, *final);
-            return *reply;
+            if (const auto terminal_state = wire::terminal_state_in_status(response->body))
+                terminal_states_.put(id, *terminal_state);
+            return *response;
         }
         return poll_records(id, true);
     }
     // Without the lease another controller may have told a newer state already.
     bool known = false;
     {
-        const std::lock_guard lock(office_.mutex);
+        const std::lock_guard lock(leader_state_.mutex);
         // Looked at after the wait for the lock, not before: nothing blocks from here to the
         // answer.
-        if (office_.controller && membership_.lease_valid()) {
-            if (const auto status = office_.controller->status(id))
+        if (leader_state_.controller && elector_.lease_valid()) {
+            if (const auto status = leader_state_.controller->status(id))
                 return {200, 0, wire::status_body(id, *status, true)};
-            known = office_.controller->knows(id);
+            known = leader_state_.controller->knows(id);
         }
     }
     return known ? known_by_records(id, true) : poll_records(id, true);
 }
 
-Reply Service::cancel(const std::string& id, From from) {
+Response Service::cancel(const std::string& id, RequestOrigin from) {
     if (!wire::valid_job_id(id)) return {404, 0, wire::error_body("no such job")};
-    if (auto reply = from_final(id, false)) return *reply;
-    if (!membership_.standing().acting) {
-        if (from == From::sibling) return busy("another controller acts");
-        if (auto reply = hand_to_leader(wire::peer::Op::cancel, id, {}, membership_, peers_))
-            return *reply;
-        return busy("no controller acts");
+    if (auto response = from_terminal_cache(id, false)) return *response;
+    if (!elector_.status().leading) {
+        if (from == RequestOrigin::peer) return unavailable("another controller acts");
+        if (auto response = forward_to_leader(wire::peer::Op::cancel, id, {}, elector_, peers_))
+            return *response;
+        return unavailable("no controller acts");
     }
-    if (!membership_.lease_valid()) return busy("the state service does not answer", 2);
-    std::unique_lock lock(office_.mutex);
-    if (!office_.controller) return busy("taking over");
-    const auto epoch = office_.controller->epoch();
-    const bool known = office_.controller->knows(id);
+    if (!elector_.lease_valid()) return unavailable("the state service does not answer", 2);
+    std::unique_lock lock(leader_state_.mutex);
+    if (!leader_state_.controller) return unavailable("taking over");
+    const auto term = leader_state_.controller->term();
+    const bool known = leader_state_.controller->knows(id);
     lock.unlock();
     if (!known) {
-        auto reply = from_records(id, false);
-        if (reply.status != 200 || wire::final_in_status(reply.body)) return reply;
-        if (!learn_job(id, epoch)) return busy("the job is not loaded");
+        auto response = from_records(id, false);
+        if (response.status != 200 || wire::terminal_state_in_status(response.body))
+            return response;
+        if (!adopt_job(id, term)) return unavailable("the job is not loaded");
     }
-    if (!replication_.tell_cancelled(id, epoch))
-        return busy("the other controllers cannot be told");
+    if (!replication_.replicate_cancellation(id, term))
+        return unavailable("the other controllers cannot be told");
     lock.lock();
-    if (!office_.controller || office_.controller->epoch() != epoch) return busy("taking over");
+    if (!leader_state_.controller || leader_state_.controller->term() != term)
+        return unavailable("taking over");
     // Guard against ran_cancelled: a former controller that hears neither the state service nor
     // this one renewed the leases of its workers through an outage, and nobody was left to end
-    // them. With enough siblings that know who acts it finds none to vouch for it.
-    if (office_.controller->in_doubt(id) && !replication_.known_to_enough())
-        return busy("the other controllers are being told who acts");
-    office_.controller->cancel(id, Clock::now());
-    office_.want_place();  // its stops go out at once
+    // them. With enough peers that know who acts it finds none to vouch for it.
+    if (leader_state_.controller->in_doubt(id) && !replication_.known_to_enough())
+        return unavailable("the other controllers are being told who acts");
+    leader_state_.controller->cancel(id, Clock::now());
+    leader_state_.want_place();  // its stops go out at once
     wait_recorded(lock, [&] {
-        if (!office_.controller) return true;
-        const auto status = office_.controller->status(id);
-        return !office_.controller->knows(id) || (status && status->final != core::Final::none);
+        if (!leader_state_.controller) return true;
+        const auto status = leader_state_.controller->status(id);
+        return !leader_state_.controller->knows(id) ||
+               (status && status->terminal_state != core::TerminalState::none);
     });
     lock.unlock();
-    if (auto reply = from_final(id, false)) return *reply;
+    if (auto response = from_terminal_cache(id, false)) return *response;
     // Its write may have been carried out without an answer.
-    if (auto reply = poll_records(id, false); wire::final_in_status(reply.body)) return reply;
-    return busy("the cancellation could not be recorded in time");
+    if (auto response = poll_records(id, false); wire::terminal_state_in_status(response.body))
+        return response;
+    return unavailable("the cancellation could not be recorded in time");
 }
 
-Reply Service::tell_word(const std::string& sibling) {
-    if (!membership_.standing().acting) return replication_.word_of_follower();
-    const std::lock_guard lock(office_.mutex);
-    if (!office_.controller) return {503, 0, {}};
-    return replication_.word_of_leader(sibling, cancelled_jobs(*office_.controller));
+Response Service::answer_cancellation_snapshot(const std::string& peer) {
+    if (!elector_.status().leading) return replication_.follower_snapshot();
+    const std::lock_guard lock(leader_state_.mutex);
+    if (!leader_state_.controller) return {503, 0, {}};
+    return replication_.leader_snapshot(peer, cancelled_jobs(*leader_state_.controller));
 }
 
-wire::peer::Answer Service::answer_sibling(const wire::peer::Request& request) {
+wire::peer::Answer Service::answer_peer(const wire::peer::Request& request) {
     peers_.was_called();
-    Reply reply;
+    Response response;
     switch (request.op) {
         case wire::peer::Op::status:
-            reply = status(request.id, From::sibling);
+            response = status(request.id, RequestOrigin::peer);
             break;
         case wire::peer::Op::cancel:
-            reply = cancel(request.id, From::sibling);
+            response = cancel(request.id, RequestOrigin::peer);
             break;
-        case wire::peer::Op::report:
-            reply = reports_.report(request.body, From::sibling);
+        case wire::peer::Op::heartbeat:
+            response = heartbeats_.heartbeat(request.body, RequestOrigin::peer);
             break;
-        case wire::peer::Op::view:
-            if (request.epoch >= membership_.standing().epoch) steward_spoke_ = Clock::now();
-            membership_.heard(request.epoch, request.id);
-            reply.status = 200;
+        case wire::peer::Op::leader_announcement:
+            if (request.term >= elector_.status().term) leader_heard_at_ = Clock::now();
+            elector_.learn_leader(request.term, request.id);
+            response.status = 200;
             break;
-        case wire::peer::Op::word:
-            reply = tell_word(request.id);
+        case wire::peer::Op::cancellation_snapshot:
+            response = answer_cancellation_snapshot(request.id);
             break;
         case wire::peer::Op::cancelled:
-            reply = replication_.hear_cancelled(request.id, request.epoch);
+            response = replication_.record_cancellation(request.id, request.term);
             break;
     }
-    return {static_cast<std::uint16_t>(reply.status), static_cast<std::uint16_t>(reply.retry_after),
-            membership_.standing().epoch, std::move(reply.body)};
+    return {static_cast<std::uint16_t>(response.status),
+            static_cast<std::uint16_t>(response.retry_after), elector_.status().term,
+            std::move(response.body)};
 }
 
 bool Service::healthy() const {
-    if (!office_.knows_types()) return false;
+    if (!leader_state_.knows_types()) return false;
     const auto now = Clock::now();
     // Guard against users held by a controller that can accept nothing: the one that acts has the
     // state service and says so, this one has it not. In an outage for all nobody says so.
-    if (now - store_.last_ok() > own_trouble && now - steward_spoke_.load() < own_trouble)
+    if (now - store_.last_success() > own_trouble && now - leader_heard_at_.load() < own_trouble)
         return false;
-    return now - store_.last_ok() < health_memory || now - peers_.last_contact() < health_memory;
+    return now - store_.last_success() < health_memory ||
+           now - peers_.last_contact() < health_memory;
 }
 
 void Service::announce() {
     for (;;) {
         replication_.round();
-        if (membership_.standing().acting) give_way_if_unreached();
+        if (elector_.status().leading) yield_if_unreachable();
         std::this_thread::sleep_for(announce_every);
     }
 }
 
-void Service::give_way_if_unreached() {
-    if (!reports_.unreached()) return;
+void Service::yield_if_unreachable() {
+    if (!heartbeats_.unreached()) return;
     spdlog::info("workers reach siblings only; another controller may act");
-    membership_.give_way();
+    elector_.yield_leadership();
 }
 
 // Where the time until each start went, for those who want to know: at debug level.
@@ -460,34 +474,39 @@
             "{:.2f}, report {:.2f}, image {:.2f}",
             s.job, s.job_class, s.team, s.tasks, s.total().count(), s.record.count(),
             s.room.count(), s.stopped_others ? "stopping others" : "not stopping", s.saves.count(),
-            s.report.count(), s.image.count());
+            s.heartbeat.count(), s.image.count());
 }
 
 void Service::place() {
     auto next = Clock::now();
     for (;;) {
-        std::unique_lock lock(office_.mutex);
-        office_.place_wanted.wait_for(lock, own_.cycle, [&] { return office_.place_pending; });
+        std::unique_lock lock(leader_state_.mutex);
+        leader_state_.place_wanted.wait_for(lock, own_.cycle,
+                                            [&] { return leader_state_.place_pending; });
         if (Clock::now() < next) {
             lock.unlock();
             std::this_thread::sleep_until(next);
             lock.lock();
         }
-        office_.place_pending = false;
-        std::vector<core::DirectCall> calls;
-        if (office_.controller) {
-            office_.controller->hold_finals_until(membership_.finals_from());
-            office_.controller->cycle(Clock::now());
+        leader_state_.place_pending = false;
+        std::vector<core::DirectCommand> calls;
+        if (leader_state_.controller) {
+            leader_state_.controller->hold_terminal_states_until(
+                elector_.terminal_states_allowed_from());
+            leader_state_.controller->cycle(Clock::now());
             // Guard against ran_cancelled: a former controller went on starting by direct call, in
             // the session that followed the lease it no longer renewed, what another had cancelled.
-            calls = office_.controller->direct_calls(Clock::now(), replication_.may_renew());
-            tell_starts(*office_.controller);
-            if (office_.takeover_log) office_.takeover_log->look(*office_.controller, Clock::now());
-            if (office_.takeover_log && office_.takeover_log->progressed(Clock::now()))
-                membership_.made_progress();
+            calls =
+                leader_state_.controller->direct_commands(Clock::now(), replication_.may_renew());
+            tell_starts(*leader_state_.controller);
+            if (leader_state_.failover_progress)
+                leader_state_.failover_progress->look(*leader_state_.controller, Clock::now());
+            if (leader_state_.failover_progress &&
+                leader_state_.failover_progress->progressed(Clock::now()))
+                elector_.made_progress();
         }
         lock.unlock();
-        for (auto& call : calls) courier_.send(std::move(call));
+        for (auto& call : calls) agent_commands_.send(std::move(call));
         next = Clock::now() + least_between_cycles;
     }
 }
@@ -503,7 +522,7 @@
     http.stop_accepting();
     const auto until = Clock::now() + longest_stop;
     while (!http.quiet() && Clock::now() < until) std::this_thread::sleep_for(stop_step);
-    membership_.resign();
+    elector_.resign();
     spdlog::info("stopped");
     // The other threads wait in calls and for work, and use what destructors would take away.
     std::_Exit(0);
@@ -514,11 +533,11 @@
     limits.most_threads = most_connections(settings_, own_);
     limits.most_waiting = most_waiting(settings_, limits.most_threads);
     io::HttpServer http(limits);
-    const auto send = [](const Reply& reply, httplib::Response& response) {
-        response.status = reply.status;
-        if (reply.retry_after > 0)
-            response.set_header("Retry-After", std::to_string(reply.retry_after));
-        response.set_content(reply.body, cbor);
+    const auto send = [](const Response& answer, httplib::Response& response) {
+        response.status = answer.status;
+        if (answer.retry_after > 0)
+            response.set_header("Retry-After", std::to_string(answer.retry_after));
+        response.set_content(answer.body, cbor);
     };
     http.Get(wire::path::health, [&](const httplib::Request&, httplib::Response& response) {
         response.status = healthy() ? 200 : 503;
@@ -527,15 +546,15 @@
         send(submit(request.body), response);
     });
     http.Get(R"(/work/([^/]*))", [&](const httplib::Request& request, httplib::Response& response) {
-        send(status(request.matches[1], From::outside), response);
+        send(status(request.matches[1], RequestOrigin::client), response);
     });
     http.Post(R"(/work/([^/]*)/cancel)",
               [&](const httplib::Request& request, httplib::Response& response) {
-                  send(cancel(request.matches[1], From::outside), response);
+                  send(cancel(request.matches[1], RequestOrigin::client), response);
               });
-    http.Post(wire::path::report,
+    http.Post(wire::path::heartbeat,
               [&](const httplib::Request& request, httplib::Response& response) {
-                  send(reports_.report(request.body, From::outside), response);
+                  send(heartbeats_.heartbeat(request.body, RequestOrigin::client), response);
               });
     http.set_error_handler([](const httplib::Request& request, httplib::Response& response) {
         if (!response.body.empty()) return;
@@ -546,13 +565,13 @@
         const bool asked =
             path.starts_with("/work/") &&
             (request.method == "GET" || (request.method == "POST" && path.ends_with("/cancel")));
-        const bool known = path == wire::path::work || path == wire::path::report ||
+        const bool known = path == wire::path::work || path == wire::path::heartbeat ||
                            path == wire::path::health || (path.starts_with("/work/") && !asked);
         if (response.status == 404 && known) response.status = 405;
         response.set_content(wire::error_body("not served"), cbor);
     });
 
-    io::PeerServer peers([this](const auto& request) { return answer_sibling(request); },
+    io::PeerServer peers([this](const auto& request) { return answer_peer(request); },
                          [](const auto& what) { spdlog::info("{}", what); });
     if (!http.bind(settings_.listen.host, settings_.listen.port)) {
         spdlog::error("listen: the address cannot be bound");
@@ -563,14 +582,14 @@
         return false;
     }
     std::thread([this] { cloud_.run(); }).detach();
-    std::thread([this] { membership_.run(); }).detach();
-    std::thread([this] { membership_.watch(); }).detach();
-    std::thread([this] { recorder_.run(); }).detach();
-    std::thread([this] { acceptor_.run(); }).detach();
+    std::thread([this] { elector_.run(); }).detach();
+    std::thread([this] { elector_.watch(); }).detach();
+    std::thread([this] { state_writer_.run(); }).detach();
+    std::thread([this] { job_admission_.run(); }).detach();
     std::thread([this] { learn(); }).detach();
     std::thread([this] { place(); }).detach();
     std::thread([this] { announce(); }).detach();
-    courier_.start();
+    agent_commands_.start();
     std::thread([&peers] { peers.run(); }).detach();
     std::thread stopper([this, &http] { stop_when_asked(http); });
     spdlog::info("{} serves", settings_.name);
--- a/src/app/service.hpp
+++ b/src/app/service.hpp
@@ -36,54 +36,54 @@
     using Clock = std::chrono::steady_clock;
 
     // Users.
-    Reply submit(const std::string& body);
-    Reply accept_elsewhere(const core::JobSpec& spec);
-    Reply status(const std::string& id, From from);
-    Reply cancel(const std::string& id, From from);
-    std::optional<Reply> from_final(const std::string& id, bool with_counts);
-    Reply from_records(const std::string& id, bool with_counts);
-    Reply read_records(const std::string& id, bool with_counts);
-    Reply poll_records(const std::string& id, bool with_counts);
-    Reply known_by_records(const std::string& id, bool with_counts);
+    Response submit(const std::string& body);
+    Response accept_elsewhere(const core::JobSpec& spec);
+    Response status(const std::string& id, RequestOrigin from);
+    Response cancel(const std::string& id, RequestOrigin from);
+    std::optional<Response> from_terminal_cache(const std::string& id, bool with_counts);
+    Response from_records(const std::string& id, bool with_counts);
+    Response read_records(const std::string& id, bool with_counts);
+    Response poll_records(const std::string& id, bool with_counts);
+    Response known_by_records(const std::string& id, bool with_counts);
     template <typename Ready>
     bool wait_recorded(std::unique_lock<std::mutex>& lock, Ready ready);
 
-    Reply tell_word(const std::string& sibling);
+    Response answer_cancellation_snapshot(const std::string& peer);
 
     bool healthy() const;
-    wire::peer::Answer answer_sibling(const wire::peer::Request& request);
+    wire::peer::Answer answer_peer(const wire::peer::Request& request);
 
-    void take_over(std::uint64_t epoch, std::uint64_t steward_stamp);
+    void take_over(std::uint64_t term, std::uint64_t leader_key_revision);
     // The revision up to which records were read, if they were.
     std::optional<std::uint64_t> load(core::Controller& controller);
     void learn();
-    void learn_jobs(const std::vector<wire::Entry>& entries, std::uint64_t revision,
-                    std::uint64_t epoch);
-    bool learn_job(const std::string& id, std::uint64_t epoch);
-    void stand_down();
+    void adopt_jobs(const std::vector<wire::Entry>& entries, std::uint64_t revision,
+                    std::uint64_t term);
+    bool adopt_job(const std::string& id, std::uint64_t term);
+    void on_deposed();
     void place();
     static void tell_starts(core::Controller& controller);
     void announce();
-    void give_way_if_unreached();
+    void yield_if_unreachable();
     void stop_when_asked(io::HttpServer& http);
 
     Settings settings_;
     OperatorSettings own_;
-    HttpStateStore store_;
-    Office office_;
-    FinalCache finals_;
-    Membership membership_;
+    HttpKeyValueStore store_;
+    LeaderState leader_state_;
+    TerminalStateCache terminal_states_;
+    LeaderElector elector_;
     Peers peers_;
     CancellationReplication replication_;
-    Recorder recorder_;
-    Acceptor acceptor_;
-    CloudDesk cloud_;
-    Courier courier_;
-    ReportDesk reports_;
+    StateWriter state_writer_;
+    JobAdmission job_admission_;
+    CloudClient cloud_;
+    AgentCommandClient agent_commands_;
+    HeartbeatHandler heartbeats_;
     std::mutex reads_mutex_;
-    Allowance poll_reads_;
+    TokenBucket poll_reads_;
     // When the acting controller last said that it acts.
-    std::atomic<Clock::time_point> steward_spoke_{Clock::time_point{}};
+    std::atomic<Clock::time_point> leader_heard_at_{Clock::time_point{}};
 };
 
 }  // namespace bendspindle::app
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -110,9 +110,8 @@
     s.zone = top.text("domain");
     s.listen = top.endpoint("listen");
     s.internal = top.endpoint("internal_addr");
-    for (const auto& sibling : top.list("siblings"))
-        s.siblings.push_back(
-            {sibling.text("node_name"), sibling.text("domain"), sibling.endpoint("endpoint")});
+    for (const auto& peer : top.list("siblings"))
+        s.peers.push_back({peer.text("node_name"), peer.text("domain"), peer.endpoint("endpoint")});
     const auto external = top.sub("external");
     s.cloud = external.endpoint("cloud");
     s.state = external.endpoint("state");
@@ -222,7 +221,7 @@
         {"stack-kb", [&](const auto& n,
                          const auto& v) { own.stack_kb = static_cast<std::size_t>(number(n, v)); }},
         {"finals-cached", [&](const auto& n, const auto& v) {
-             own.finals_cached = static_cast<std::size_t>(number(n, v));
+             own.terminal_states_cached = static_cast<std::size_t>(number(n, v));
          }}};
 
     each_entry(file, "(NAME VALUE)", [&](const std::vector<std::string>& words) {
@@ -288,7 +287,7 @@
 }
 
 std::size_t most_waiting(const Settings& settings, std::size_t served) {
-    // Together half of the sockets; the rest is for calls out and for siblings.
+    // Together half of the sockets; the rest is for calls out and for peers.
     const auto half = settings.most_sockets / 2;
     return std::max<std::size_t>(half > served ? half - served : 0, 16);
 }
--- a/src/app/settings.hpp
+++ b/src/app/settings.hpp
@@ -16,7 +16,7 @@
     using std::runtime_error::runtime_error;
 };
 
-struct Sibling {
+struct PeerSettings {
     std::string name;
     std::string zone;
     io::Endpoint endpoint;
@@ -34,13 +34,13 @@
     std::string zone;
     io::Endpoint listen;
     io::Endpoint internal;
-    std::vector<Sibling> siblings;
+    std::vector<PeerSettings> peers;
     io::Endpoint cloud;
     io::Endpoint state;
     std::vector<std::string> zones;
     std::vector<core::Team> teams;
-    core::WorkerTimes workers;
-    core::Objectives objectives;
+    core::AgentTimings workers;
+    core::ServiceLevelObjectives objectives;
     StateLimits state_limits;
     double cloud_requests_per_s = 1;
     core::Seconds list_lag{5};
@@ -59,7 +59,7 @@
     double headroom = 1.0;
     std::size_t threads = 160;
     std::size_t stack_kb = 256;
-    std::size_t finals_cached = 4096;
+    std::size_t terminal_states_cached = 4096;
     admission::FloorSettings floors;  // of a file of its own: deploy/admission.sexp
 };
 
--- a/src/app/state_store.cpp
+++ b/src/app/state_store.cpp
@@ -11,52 +11,53 @@
 
 }  // namespace
 
-HttpStateStore::HttpStateStore(io::Endpoint endpoint) : client_(std::move(endpoint), call_limit) {}
+HttpKeyValueStore::HttpKeyValueStore(io::Endpoint endpoint)
+    : client_(std::move(endpoint), call_limit) {}
 
-Outcome HttpStateStore::outcome_of(const std::optional<io::HttpAnswer>& answer) {
-    if (!answer) return Outcome::unknown;
+StoreStatus HttpKeyValueStore::status_of(const std::optional<io::HttpAnswer>& answer) {
+    if (!answer) return StoreStatus::unknown;
     switch (answer->status) {
         case 200:
-            last_ok_ = Clock::now();
-            return Outcome::ok;
+            last_success_ = Clock::now();
+            return StoreStatus::ok;
         case 404:
-            last_ok_ = Clock::now();
-            return Outcome::absent;
+            last_success_ = Clock::now();
+            return StoreStatus::absent;
         case 409:
-            last_ok_ = Clock::now();
-            return Outcome::conflict;
+            last_success_ = Clock::now();
+            return StoreStatus::conflict;
         case 400:
-            return Outcome::invalid;
+            return StoreStatus::invalid;
         case 410:
-            return Outcome::too_old;
+            return StoreStatus::too_old;
         case 429:
         case 503:
-            return Outcome::refused;
+            return StoreStatus::refused;
         default:
-            return Outcome::unknown;
+            return StoreStatus::unknown;
     }
 }
 
-Read HttpStateStore::get(const std::string& key) {
+ReadResult HttpKeyValueStore::get(const std::string& key) {
     const auto answer = client_.get(wire::path::key(key));
-    Read out{outcome_of(answer), {}};
-    if (out.outcome != Outcome::ok) return out;
+    ReadResult out{status_of(answer), {}};
+    if (out.outcome != StoreStatus::ok) return out;
     auto entry = wire::parse_entry(answer->body);
     if (!entry) return {};
     out.entry = std::move(*entry);
     return out;
 }
 
-Listing HttpStateStore::list(const std::string& prefix) {
-    Listing out;
+ListResult HttpKeyValueStore::list(const std::string& prefix) {
+    ListResult out;
     std::string after;
     for (;;) {
         const auto answer = client_.get(wire::path::range(prefix, after, page));
-        out.outcome = outcome_of(answer);
-        if (out.outcome != Outcome::ok) return out;
+        out.outcome = status_of(answer);
+        if (out.outcome != StoreStatus::ok) return out;
         auto entries = wire::parse_entries(answer->body);
         if (!entries) {
-            out.outcome = Outcome::unknown;
+            out.outcome = StoreStatus::unknown;
             return out;
         }
         // What changes between two pages is watched from the first page on.
@@ -67,15 +68,15 @@
     }
 }
 
-Listing HttpStateStore::watch(const std::string& prefix, std::uint64_t since,
-                              std::chrono::milliseconds wait) {
+ListResult HttpKeyValueStore::watch(const std::string& prefix, std::uint64_t since,
+                                    std::chrono::milliseconds wait) {
     const auto answer = client_.get(wire::path::watch(prefix, since, wait), wait);
-    Listing out;
-    out.outcome = outcome_of(answer);
-    if (out.outcome != Outcome::ok) return out;
+    ListResult out;
+    out.outcome = status_of(answer);
+    if (out.outcome != StoreStatus::ok) return out;
     auto events = wire::parse_events(answer->body);
     if (!events) {
-        out.outcome = Outcome::unknown;
+        out.outcome = StoreStatus::unknown;
         return out;
     }
     out.entries = std::move(events->entries);
@@ -83,15 +84,16 @@
     return out;
 }
 
-Txn HttpStateStore::transact(const std::vector<wire::Condition>& conditions,
-                             const std::vector<wire::Operation>& operations) {
-    const auto answer = client_.post(wire::path::txn, wire::txn_body(conditions, operations));
-    Txn out;
-    out.outcome = outcome_of(answer);
-    if (out.outcome != Outcome::ok && out.outcome != Outcome::conflict) return out;
-    const auto parsed = wire::parse_txn(answer->body);
+CasResult HttpKeyValueStore::compare_and_swap(const std::vector<wire::Condition>& conditions,
+                                              const std::vector<wire::Operation>& operations) {
+    const auto answer =
+        client_.post(wire::path::cas_result, wire::compare_and_swap_body(conditions, operations));
+    CasResult out;
+    out.outcome = status_of(answer);
+    if (out.outcome != StoreStatus::ok && out.outcome != StoreStatus::conflict) return out;
+    const auto parsed = wire::parse_compare_and_swap(answer->body);
     if (!parsed) {
-        out.outcome = Outcome::unknown;
+        out.outcome = StoreStatus::unknown;
         return out;
     }
     out.revision = parsed->revision;
@@ -99,18 +101,19 @@
     return out;
 }
 
-std::optional<std::uint64_t> HttpStateStore::grant(std::chrono::milliseconds life) {
+std::optional<std::uint64_t> HttpKeyValueStore::grant_lease(std::chrono::milliseconds life) {
     const auto answer = client_.post(wire::path::leases, wire::lease_body(life));
-    if (outcome_of(answer) != Outcome::ok) return std::nullopt;
+    if (status_of(answer) != StoreStatus::ok) return std::nullopt;
     return wire::parse_lease(answer->body);
 }
 
-Outcome HttpStateStore::touch(std::uint64_t lease) {
-    return outcome_of(client_.post(wire::path::touch(lease), wire::to_cbor(wire::Value::object())));
+StoreStatus HttpKeyValueStore::keep_alive(std::uint64_t lease) {
+    return status_of(
+        client_.post(wire::path::keep_alive(lease), wire::to_cbor(wire::Value::object())));
 }
 
-Outcome HttpStateStore::revoke(std::uint64_t lease) {
-    return outcome_of(client_.erase(wire::path::lease(lease)));
+StoreStatus HttpKeyValueStore::revoke_lease(std::uint64_t lease) {
+    return status_of(client_.erase(wire::path::lease(lease)));
 }
 
 }  // namespace bendspindle::app
--- a/src/app/state_store.hpp
+++ b/src/app/state_store.hpp
@@ -1,6 +1,6 @@
 // Calls of the state service, with their outcomes told apart: executed, refused, or unknown.
-// `StateStore` is what the rest of the controller uses, `HttpStateStore` the real one; a simulation
-// has its own.
+// `KeyValueStore` is what the rest of the controller uses, `HttpKeyValueStore` the real one; a
+// simulation has its own.
 #pragma once
 
 #include <atomic>
@@ -15,7 +15,7 @@
 
 namespace bendspindle::app {
 
-enum class Outcome : std::uint8_t {
+enum class StoreStatus : std::uint8_t {
     ok,
     absent,    // no such key or lease
     conflict,  // a condition did not hold
@@ -25,60 +25,60 @@
     too_old,   // a watch from a revision that is no longer kept
 };
 
-struct Read {
-    Outcome outcome = Outcome::unknown;
+struct ReadResult {
+    StoreStatus outcome = StoreStatus::unknown;
     wire::Entry entry;
 };
-struct Listing {
-    Outcome outcome = Outcome::unknown;
+struct ListResult {
+    StoreStatus outcome = StoreStatus::unknown;
     std::vector<wire::Entry> entries;
     std::uint64_t revision = 0;  // what a watch goes on from, so that nothing is missed
 };
-struct Txn {
-    Outcome outcome = Outcome::unknown;
+struct CasResult {
+    StoreStatus outcome = StoreStatus::unknown;
     std::uint64_t revision = 0;
     std::vector<std::string> failed;
 };
 
-class StateStore {
+class KeyValueStore {
   public:
     using Clock = std::chrono::steady_clock;
 
-    virtual ~StateStore() = default;
-    virtual Read get(const std::string& key) = 0;
-    virtual Listing list(const std::string& prefix) = 0;
+    virtual ~KeyValueStore() = default;
+    virtual ReadResult get(const std::string& key) = 0;
+    virtual ListResult list(const std::string& prefix) = 0;
     // Waits for puts under a prefix after a revision.
-    virtual Listing watch(const std::string& prefix, std::uint64_t since,
-                          std::chrono::milliseconds wait) = 0;
-    virtual Txn transact(const std::vector<wire::Condition>& conditions,
-                         const std::vector<wire::Operation>& operations) = 0;
-    virtual std::optional<std::uint64_t> grant(std::chrono::milliseconds life) = 0;
-    virtual Outcome touch(std::uint64_t lease) = 0;
+    virtual ListResult watch(const std::string& prefix, std::uint64_t since,
+                             std::chrono::milliseconds wait) = 0;
+    virtual CasResult compare_and_swap(const std::vector<wire::Condition>& conditions,
+                                       const std::vector<wire::Operation>& operations) = 0;
+    virtual std::optional<std::uint64_t> grant_lease(std::chrono::milliseconds life) = 0;
+    virtual StoreStatus keep_alive(std::uint64_t lease) = 0;
     // Ends a lease at once, and what is attached to it.
-    virtual Outcome revoke(std::uint64_t lease) = 0;
+    virtual StoreStatus revoke_lease(std::uint64_t lease) = 0;
     // When the service last executed something for this controller.
-    virtual Clock::time_point last_ok() const = 0;
+    virtual Clock::time_point last_success() const = 0;
 };
 
-class HttpStateStore : public StateStore {
+class HttpKeyValueStore : public KeyValueStore {
   public:
-    explicit HttpStateStore(io::Endpoint endpoint);
-    Read get(const std::string& key) override;
-    Listing list(const std::string& prefix) override;
-    Listing watch(const std::string& prefix, std::uint64_t since,
-                  std::chrono::milliseconds wait) override;
-    Txn transact(const std::vector<wire::Condition>& conditions,
-                 const std::vector<wire::Operation>& operations) override;
-    std::optional<std::uint64_t> grant(std::chrono::milliseconds life) override;
-    Outcome touch(std::uint64_t lease) override;
-    Outcome revoke(std::uint64_t lease) override;
-    Clock::time_point last_ok() const override { return last_ok_.load(); }
+    explicit HttpKeyValueStore(io::Endpoint endpoint);
+    ReadResult get(const std::string& key) override;
+    ListResult list(const std::string& prefix) override;
+    ListResult watch(const std::string& prefix, std::uint64_t since,
+                     std::chrono::milliseconds wait) override;
+    CasResult compare_and_swap(const std::vector<wire::Condition>& conditions,
+                               const std::vector<wire::Operation>& operations) override;
+    std::optional<std::uint64_t> grant_lease(std::chrono::milliseconds life) override;
+    StoreStatus keep_alive(std::uint64_t lease) override;
+    StoreStatus revoke_lease(std::uint64_t lease) override;
+    Clock::time_point last_success() const override { return last_success_.load(); }
 
   private:
-    Outcome outcome_of(const std::optional<io::HttpAnswer>& answer);
+    StoreStatus status_of(const std::optional<io::HttpAnswer>& answer);
 
     io::HttpClient client_;
-    std::atomic<Clock::time_point> last_ok_{Clock::time_point{}};
+    std::atomic<Clock::time_point> last_success_{Clock::time_point{}};
 };
 
 }  // namespace bendspindle::app
--- a/src/app/takeover_log.cpp
+++ b/src/app/takeover_log.cpp
@@ -11,14 +11,14 @@
 
 }  // namespace
 
-void TakeoverLog::loaded(const core::Controller& controller, Clock::time_point now) {
+void FailoverProgress::loaded(const core::Controller& controller, Clock::time_point now) {
     recorded_ = controller.unconfirmed();
     half_told_ = all_told_ = some_answered_ = recorded_ == 0;
     spdlog::info("took over {} open jobs and {} machines after {:.2f} s", controller.jobs().size(),
                  recorded_, since(now));
 }
 
-void TakeoverLog::look(const core::Controller& controller, Clock::time_point now) {
+void FailoverProgress::look(const core::Controller& controller, Clock::time_point now) {
     if (!all_told_) {
         const auto left = controller.unconfirmed();
         some_answered_ |= left < recorded_;
@@ -38,8 +38,8 @@
     }
 }
 
-bool TakeoverLog::progressed(Clock::time_point now) const {
-    return some_answered_ && now - acting_since_ >= long_enough;
+bool FailoverProgress::progressed(Clock::time_point now) const {
+    return some_answered_ && now - leading_since_ >= long_enough;
 }
 
 }  // namespace bendspindle::app
--- a/src/app/takeover_log.hpp
+++ b/src/app/takeover_log.hpp
@@ -8,10 +8,10 @@
 
 namespace bendspindle::app {
 
-class TakeoverLog {
+class FailoverProgress {
   public:
     using Clock = std::chrono::steady_clock;
-    explicit TakeoverLog(Clock::time_point acting_since) : acting_since_(acting_since) {}
+    explicit FailoverProgress(Clock::time_point leading_since) : leading_since_(leading_since) {}
 
     void loaded(const core::Controller& controller, Clock::time_point now);
     // Looks at what has happened since; cheap once everything was told.
@@ -22,10 +22,10 @@
 
   private:
     double since(Clock::time_point now) const {
-        return std::chrono::duration<double>(now - acting_since_).count();
+        return std::chrono::duration<double>(now - leading_since_).count();
     }
 
-    Clock::time_point acting_since_;
+    Clock::time_point leading_since_;
     std::size_t recorded_ = 0;
     bool some_answered_ = false;
     bool half_told_ = false;
--- a/src/app/visits.hpp
+++ b/src/app/visits.hpp
@@ -1,8 +1,10 @@
 // Workers and the way to the acting controller. Pure: the time is passed in.
 //
-//  - `Visits`, at a controller that does not act: whether a worker that reports here is sent to the
+//  - `HeartbeatRouting`, at a controller that does not act: whether a worker that reports here is
+//  sent to the
 //    one that does, or its report is handed on.
-//  - `Reach`, at the one that acts: whether workers reach it themselves, or only their siblings.
+//  - `LeaderReachability`, at the one that acts: whether workers reach it themselves, or only their
+//  peers.
 #pragma once
 
 #include <chrono>
@@ -16,12 +18,12 @@
 
 namespace bendspindle::app {
 
-class Visits {
+class HeartbeatRouting {
   public:
-    explicit Visits(core::Seconds report) : report_(report) {}
-    // `knows_steward`: it shows the present token, so it has been in touch with who acts and comes
+    explicit HeartbeatRouting(core::Seconds heartbeat) : report_(heartbeat) {}
+    // `knows_leader`: it shows the present token, so it has been in touch with who acts and comes
     // here all the same.
-    bool send_there(const std::string& worker, bool knows_steward, core::TimePoint now);
+    bool send_there(const std::string& worker, bool knows_leader, core::TimePoint now);
 
   private:
     struct Visit {
@@ -30,22 +32,22 @@
         std::optional<core::TimePoint> sent;
     };
     const core::Seconds report_;
-    std::unordered_map<std::string, Visit> visits_;
+    std::unordered_map<std::string, Visit> routing_;
 };
 
-class Reach {
+class LeaderReachability {
   public:
-    explicit Reach(core::Seconds report) : report_(report) {}
+    explicit LeaderReachability(core::Seconds heartbeat) : report_(heartbeat) {}
     void begin(core::TimePoint now);
-    void heard(const std::string& worker, bool by_sibling, core::TimePoint now);
-    // Workers reached it before, and now they reach siblings only: another would serve them better.
+    void record_heartbeat(const std::string& worker, bool via_peer, core::TimePoint now);
+    // Workers reached it before, and now they reach peers only: another would serve them better.
     bool lost(core::TimePoint now) const;
 
   private:
     const core::Seconds report_;
     bool direct_ = false;  // any came by itself since it acts
     core::TimePoint last_direct_{};
-    std::set<std::string> by_sibling_;  // since the last that came by itself
+    std::set<std::string> via_peer_;  // since the last that came by itself
 };
 
 }  // namespace bendspindle::app
--- a/src/core/capacity.cpp
+++ b/src/core/capacity.cpp
@@ -4,11 +4,12 @@
 
 namespace bendspindle::core {
 
-Capacity::Capacity(const Catalog& catalog, const Fleet& fleet) : catalog_(catalog) {
+Capacity::Capacity(const MachineCatalog& catalog, const MachineInventory& inventory)
+    : catalog_(catalog) {
     // Neighbours by name are mostly of one group.
     Resources* sum = nullptr;
     const Machine* last = nullptr;
-    for (const auto& [name, machine] : fleet.all()) {
+    for (const auto& [name, machine] : inventory.all()) {
         if (!machine.type_known || !machine.reported || machine.draining()) continue;
         if (!last || last->type != machine.type || last->spot != machine.spot ||
             last->zone != machine.zone)
--- a/src/core/capacity.hpp
+++ b/src/core/capacity.hpp
@@ -13,7 +13,7 @@
 
 class Capacity {
   public:
-    Capacity(const Catalog& catalog, const Fleet& fleet);
+    Capacity(const MachineCatalog& catalog, const MachineInventory& inventory);
     // Of the machines that such work may use, the part that this many tasks take; 1 is all. 0 where
     // there is no such machine.
     double share(const JobSpec& spec, std::size_t tasks) const;
@@ -25,7 +25,7 @@
         bool spot;
         auto operator<=>(const Group&) const = default;
     };
-    const Catalog& catalog_;
+    const MachineCatalog& catalog_;
     std::map<Group, Resources> groups_;
 };
 
--- a/src/core/catalog.cpp
+++ b/src/core/catalog.cpp
@@ -39,13 +39,13 @@
     return Verdict::fits;
 }
 
-void Catalog::set(std::vector<MachineType> types) {
+void MachineCatalog::set(std::vector<MachineType> types) {
     types_ = std::move(types);
     index_.clear();
     for (std::size_t i = 0; i < types_.size(); ++i) index_[types_[i].name] = i;
 }
 
-Resources Catalog::largest() const {
+Resources MachineCatalog::largest() const {
     Resources out;
     for (const auto& type : types_) {
         out.cpus = std::max(out.cpus, type.size.cpus);
@@ -55,7 +55,7 @@
     return out;
 }
 
-std::optional<std::size_t> Catalog::find(const std::string& name) const {
+std::optional<std::size_t> MachineCatalog::find(const std::string& name) const {
     const auto it = index_.find(name);
     if (it == index_.end()) return std::nullopt;
     return it->second;
@@ -64,7 +64,7 @@
 // Guard against GPUs paid for in vain: when everything else was taken, GPU machines were rented for
 // tasks that need none. They use GPU machines that are there, but none is rented for them unless no
 // other type can run them.
-bool Catalog::suits(const JobSpec& spec, const MachineType& type) const {
+bool MachineCatalog::suits(const JobSpec& spec, const MachineType& type) const {
     if (spec.need.gpus > 0 || type.size.gpus <= 0) return true;
     return std::none_of(types_.begin(), types_.end(), [&](const MachineType& other) {
         return other.size.gpus <= 0 && other.size.holds(spec.need) &&
@@ -72,7 +72,7 @@
     });
 }
 
-Seconds Catalog::longest_boot(const JobSpec& spec) const {
+Seconds MachineCatalog::longest_boot(const JobSpec& spec) const {
     Seconds longest{0};
     for (const auto& type : types_)
         if (type.size.holds(spec.need) && allowed_in_some_zone(spec, type))
--- a/src/core/catalog.hpp
+++ b/src/core/catalog.hpp
@@ -20,7 +20,7 @@
 // Whether a job's user allows such a machine.
 bool allowed(const JobSpec& spec, const std::string& type, const std::string& zone, bool spot);
 
-class Catalog {
+class MachineCatalog {
   public:
     void set(std::vector<MachineType> types);
     bool known() const { return !types_.empty(); }
--- a/src/core/changes.cpp
+++ b/src/core/changes.cpp
@@ -11,116 +11,117 @@
 }  // namespace
 
 // Changes up to a number of operations.
-class PendingChanges::Gathering {
+class WriteQueue::Gathering {
   public:
     explicit Gathering(std::size_t most) : most_(most) {}
     // False: it is full, and takes no more of anything, so that the order is kept.
-    bool add(Change change, std::size_t operations = 1) {
+    bool add(RecordWrite change, std::size_t operations = 1) {
         full_ = full_ || operations_ + operations > most_;
         if (full_) return false;
         operations_ += operations;
-        changes_.push_back(std::move(change));
+        write_queue_.push_back(std::move(change));
         return true;
     }
     bool full() const { return full_; }
-    std::vector<Change> take() { return std::move(changes_); }
+    std::vector<RecordWrite> take() { return std::move(write_queue_); }
 
   private:
     std::size_t most_;
     std::size_t operations_ = 0;
     bool full_ = false;
-    std::vector<Change> changes_;
+    std::vector<RecordWrite> write_queue_;
 };
 
-bool PendingChanges::belongs(const Job& job, Pass pass, TimePoint now) const {
+bool WriteQueue::belongs(const Job& job, Pass pass, TimePoint now) const {
     if (job.changed == job.written) return false;
-    if (job.over()) return pass == Pass::finals && now >= finals_from_;
+    if (job.over()) return pass == Pass::terminal_states && now >= finals_from_;
     if (!job.durable) return pass == Pass::new_jobs;
     return pass == Pass::done_sets && between(job.changed_at, now) >= done_set_pause;
 }
 
-void PendingChanges::gather_jobs(Gathering& gathering, Pass pass, TimePoint now) const {
-    for (const auto& [serial, job] : pipelines_.all()) {
+void WriteQueue::gather_jobs(Gathering& gathering, Pass pass, TimePoint now) const {
+    for (const auto& [serial, job] : job_table_.all()) {
         if (!belongs(*job, pass, now)) continue;
-        Change change;
-        change.what = job->over() ? Change::What::finish_job : Change::What::put_job;
+        RecordWrite change;
+        change.type = job->over() ? RecordWrite::Type::finish_job : RecordWrite::Type::put_job;
         change.id = job->spec.id;
         change.version = job->changed;
-        change.stamp = job->stamp;
+        change.mod_revision = job->mod_revision;
         change.job = to_record(*job, config_.name);
         if (!gathering.add(std::move(change), job->over() ? operations_of_final : 1)) return;
     }
 }
 
-void PendingChanges::gather_machines(Gathering& gathering) const {
-    for (const auto& [name, machine] : fleet_.all()) {
+void WriteQueue::gather_machines(Gathering& gathering) const {
+    for (const auto& [name, machine] : inventory_.all()) {
         // Recorded once it is up and its address is known: before that nothing can start there.
-        if (!fleet_.wants_record(machine)) continue;
-        Change change;
-        change.what = Change::What::put_machine;
+        if (!inventory_.wants_record(machine)) continue;
+        RecordWrite change;
+        change.type = RecordWrite::Type::put_machine;
         change.id = name;
-        change.stamp = machine.stamp;
+        change.mod_revision = machine.mod_revision;
         change.machine = {name,         machine.address,       machine.type_name, machine.zone,
                           machine.spot, MachineStage::running, Seconds{0}};
         if (!gathering.add(std::move(change))) return;
     }
-    for (const auto& [name, stamp] : fleet_.records_to_drop()) {
-        Change change;
-        change.what = Change::What::drop_machine;
+    for (const auto& [name, mod_revision] : inventory_.records_to_drop()) {
+        RecordWrite change;
+        change.type = RecordWrite::Type::drop_machine;
         change.id = name;
-        change.stamp = stamp;
+        change.mod_revision = mod_revision;
         if (!gathering.add(std::move(change))) return;
     }
 }
 
-std::vector<Change> PendingChanges::due(std::size_t most_operations, TimePoint now) const {
+std::vector<RecordWrite> WriteQueue::due(std::size_t most_operations, TimePoint now) const {
     Gathering gathering(most_operations);
-    gather_jobs(gathering, Pass::finals, now);
+    gather_jobs(gathering, Pass::terminal_states, now);
     if (!gathering.full()) gather_jobs(gathering, Pass::new_jobs, now);
     if (!gathering.full()) gather_machines(gathering);
     if (!gathering.full()) gather_jobs(gathering, Pass::done_sets, now);
     return gathering.take();
 }
 
-std::vector<std::string> PendingChanges::sent(const std::vector<Change>& changes) {
+std::vector<std::string> WriteQueue::sent(const std::vector<RecordWrite>& changes) {
     std::vector<std::string> out;
     for (const auto& change : changes) {
-        if (change.what != Change::What::finish_job) continue;
-        auto* job = pipelines_.find(change.id);
-        if (!job || job->final_sent) continue;
-        job->final_sent = true;
+        if (change.type != RecordWrite::Type::finish_job) continue;
+        auto* job = job_table_.find(change.id);
+        if (!job || job->terminal_state_sent) continue;
+        job->terminal_state_sent = true;
         out.push_back(change.id);
     }
     return out;
 }
 
-void PendingChanges::not_executed(const std::vector<std::string>& finals) {
-    for (const auto& id : finals)
-        if (auto* job = pipelines_.find(id)) job->final_sent = false;
+void WriteQueue::not_executed(const std::vector<std::string>& terminal_states) {
+    for (const auto& id : terminal_states)
+        if (auto* job = job_table_.find(id)) job->terminal_state_sent = false;
 }
 
-void PendingChanges::written(const std::vector<Change>& changes, std::uint64_t stamp,
-                             TimePoint now) {
+void WriteQueue::written(const std::vector<RecordWrite>& changes, std::uint64_t mod_revision,
+                         TimePoint now) {
     for (const auto& change : changes) {
-        using What = Change::What;
-        if (change.what == What::put_machine) {
-            fleet_.recorded(change.id, stamp);
-        } else if (change.what == What::drop_machine) {
-            fleet_.record_dropped(change.id);
-        } else if (auto* job = pipelines_.find(change.id)) {
-            pipelines_.written(*job, change.job, change.version, stamp, now);
-            if (change.what == What::finish_job) pipelines_.final_written(*job);
+        using Type = RecordWrite::Type;
+        if (change.type == Type::put_machine) {
+            inventory_.recorded(change.id, mod_revision);
+        } else if (change.type == Type::drop_machine) {
+            inventory_.record_dropped(change.id);
+        } else if (auto* job = job_table_.find(change.id)) {
+            job_table_.written(*job, change.job, change.version, mod_revision, now);
+            if (change.type == Type::finish_job) job_table_.terminal_state_written(*job);
         }
     }
 }
 
-void PendingChanges::restamp(Change::What what, const std::string& id, std::uint64_t stamp) {
-    if (what == Change::What::put_machine)
-        fleet_.restamp(id, stamp);
-    else if (what == Change::What::drop_machine)
-        fleet_.restamp_dropping(id, stamp);
+void WriteQueue::set_mod_revision(RecordWrite::Type type, const std::string& id,
+                                  std::uint64_t mod_revision) {
+    if (type == RecordWrite::Type::put_machine)
+        inventory_.set_mod_revision(id, mod_revision);
+    else if (type == RecordWrite::Type::drop_machine)
+        inventory_.set_dropped_mod_revision(id, mod_revision);
     else
-        pipelines_.restamp(id, stamp);
+        job_table_.set_mod_revision(id, mod_revision);
 }
 
 }  // namespace bendspindle::core
--- a/src/core/config.hpp
+++ b/src/core/config.hpp
@@ -14,8 +14,8 @@
     std::string name;
     std::vector<std::string> zones;
     std::vector<Team> teams;
-    WorkerTimes workers;
-    Objectives objectives;
+    AgentTimings workers;
+    ServiceLevelObjectives objectives;
     Seconds cycle{2};
     // Idle machines are returned after this, when the learned demand does not want them.
     Seconds idle_return{15};
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -2,40 +2,42 @@
 
 namespace bendspindle::core {
 
-Controller::Controller(Config config, std::uint64_t epoch)
+Controller::Controller(Config config, std::uint64_t term)
     : config_(std::move(config)),
-      epoch_(epoch),
-      fleet_(config_, catalog_),
-      pipelines_(fleet_, epoch),
-      ledger_(config_, catalog_, fleet_, pipelines_),
-      dispatch_(config_, catalog_, fleet_, pipelines_, estimates_, epoch),
-      preemption_(config_, catalog_, fleet_, pipelines_, estimates_),
-      placing_(config_, catalog_, fleet_, pipelines_, estimates_, ledger_, preemption_),
-      renting_(config_, catalog_, fleet_, pipelines_, estimates_, ledger_, epoch),
-      changes_(config_, fleet_, pipelines_) {}
+      term_(term),
+      inventory_(config_, catalog_),
+      job_table_(inventory_, term),
+      quota_accounting_(config_, catalog_, inventory_, job_table_),
+      agents_(config_, catalog_, inventory_, job_table_, estimates_, term),
+      preemption_(config_, catalog_, inventory_, job_table_, estimates_),
+      placement_cycle_(config_, catalog_, inventory_, job_table_, estimates_, quota_accounting_,
+                       preemption_),
+      autoscaler_(config_, catalog_, inventory_, job_table_, estimates_, quota_accounting_, term),
+      write_queue_(config_, inventory_, job_table_) {}
 
 void Controller::set_types(std::vector<MachineType> types) {
     catalog_.set(std::move(types));
-    fleet_.catalog_changed();
+    inventory_.catalog_changed();
 }
 
-void Controller::load_job(const JobRecord& record, std::uint64_t stamp, TimePoint now) {
-    pipelines_.load(record, stamp, now);
+void Controller::load_job(const JobRecord& record, std::uint64_t mod_revision, TimePoint now) {
+    job_table_.load(record, mod_revision, now);
 }
 
-void Controller::load_machine(const ListedMachine& record, std::uint64_t stamp, TimePoint now) {
-    fleet_.load(record, stamp, now);
+void Controller::load_machine(const ListedMachine& record, std::uint64_t mod_revision,
+                              TimePoint now) {
+    inventory_.load(record, mod_revision, now);
 }
 
-void Controller::load_unreadable_machine(const std::string& name, std::uint64_t stamp,
+void Controller::load_unreadable_machine(const std::string& name, std::uint64_t mod_revision,
                                          TimePoint now) {
-    fleet_.load_unreadable(name, stamp, now);
+    inventory_.load_unreadable(name, mod_revision, now);
 }
 
-bool Controller::learn(const JobRecord& record, std::uint64_t stamp, TimePoint now) {
+bool Controller::learn(const JobRecord& record, std::uint64_t mod_revision, TimePoint now) {
     if (knows(record.spec.id)) return false;
-    pipelines_.learn(record, stamp, now);
-    renting_.arrived(record.spec, now);
+    job_table_.learn(record, mod_revision, now);
+    autoscaler_.arrived(record.spec, now);
     return true;
 }
 
@@ -45,83 +47,85 @@
 
 bool Controller::accept(const JobSpec& spec, WallTime submitted, TimePoint now) {
     if (knows(spec.id)) return false;
-    renting_.arrived(spec, now);
-    pipelines_.accept(spec, submitted, now);
+    autoscaler_.arrived(spec, now);
+    job_table_.accept(spec, submitted, now);
     return true;
 }
 
 bool Controller::durable(const std::string& id) const {
-    const auto* job = pipelines_.find(id);
+    const auto* job = job_table_.find(id);
     return job && job->durable;
 }
 
 bool Controller::found(const std::string& id) const {
-    const auto* job = pipelines_.find(id);
+    const auto* job = job_table_.find(id);
     return job && job->found;
 }
 
 bool Controller::in_doubt(const std::string& id) const {
-    const auto* job = pipelines_.find(id);
-    return job && fleet_.in_doubt(*job);
+    const auto* job = job_table_.find(id);
+    return job && inventory_.in_doubt(*job);
 }
 
-ReportAnswer Controller::report(const Report& report, TimePoint now) {
-    return dispatch_.report(report, now);
+HeartbeatResponse Controller::heartbeat(const Heartbeat& heartbeat, TimePoint now) {
+    return agents_.heartbeat(heartbeat, now);
 }
 
-std::vector<DirectCall> Controller::direct_calls(TimePoint now, bool may_start) {
-    return dispatch_.direct_calls(now, may_start);
+std::vector<DirectCommand> Controller::direct_commands(TimePoint now, bool may_start) {
+    return agents_.direct_commands(now, may_start);
 }
 
-void Controller::called(const DirectCall& call, CallOutcome outcome, const Report* answer,
+void Controller::called(const DirectCommand& call, CommandOutcome outcome, const Heartbeat* answer,
                         TimePoint now) {
-    dispatch_.called(call, outcome, answer, now);
+    agents_.called(call, outcome, answer, now);
 }
 
 void Controller::cycle(TimePoint now) {
     if (!catalog_.known()) return;
-    fleet_.watch(now);
-    dispatch_.drain(now);
-    placing_.cycle(now);
+    inventory_.watch(now);
+    agents_.drain(now);
+    placement_cycle_.cycle(now);
 }
 
-RentPlan Controller::plan_renting(TimePoint now) {
-    return renting_.plan(now);
+ScalingPlan Controller::plan_scaling(TimePoint now) {
+    return autoscaler_.plan(now);
 }
 
-void Controller::rented(const RentRequest& request, const std::vector<std::string>& names,
-                        TimePoint now) {
-    renting_.rented(request, names, now);
+void Controller::scaled_out(const ScaleOutRequest& request, const std::vector<std::string>& names,
+                            TimePoint now) {
+    autoscaler_.scaled_out(request, names, now);
 }
 
 void Controller::released(const std::vector<std::string>& names) {
-    for (const auto& name : names) dispatch_.released(name);
-    pipelines_.forget_all_over();
+    for (const auto& name : names) agents_.released(name);
+    job_table_.forget_all_over();
 }
 
 void Controller::listed(const std::vector<ListedMachine>& machines, TimePoint asked,
                         TimePoint now) {
-    fleet_.listed(machines, asked, now);
+    inventory_.listed(machines, asked, now);
 }
 
-std::vector<Change> Controller::changes(std::size_t most_operations, TimePoint now) const {
-    return changes_.due(most_operations, now);
+std::vector<RecordWrite> Controller::changes(std::size_t most_operations, TimePoint now) const {
+    return write_queue_.due(most_operations, now);
 }
 
-std::vector<std::string> Controller::sent(const std::vector<Change>& changes) {
-    return changes_.sent(changes);
+std::vector<std::string> Controller::sent(const std::vector<RecordWrite>& changes) {
+    return write_queue_.sent(changes);
 }
 
-void Controller::not_executed(const std::vector<std::string>& finals) {
-    changes_.not_executed(finals);
+void Controller::not_executed(const std::vector<std::string>& terminal_states) {
+    write_queue_.not_executed(terminal_states);
 }
 
-void Controller::written(const std::vector<Change>& changes, std::uint64_t stamp, TimePoint now) {
-    changes_.written(changes, stamp, now);
+void Controller::written(const std::vector<RecordWrite>& changes, std::uint64_t mod_revision,
+                         TimePoint now) {
+    write_queue_.written(changes, mod_revision, now);
 }
 
-void Controller::restamp(Change::What what, const std::string& id, std::uint64_t stamp) {
-    changes_.restamp(what, id, stamp);
+void Controller::set_mod_revision(RecordWrite::Type type, const std::string& id,
+                                  std::uint64_t mod_revision) {
+    write_queue_.set_mod_revision(type, id, mod_revision);
 }
 
 }  // namespace bendspindle::core
--- a/src/core/demand.cpp
+++ b/src/core/demand.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-void Demand::arrived(const JobSpec& spec, TimePoint now) {
+void DemandForecast::arrived(const JobSpec& spec, TimePoint now) {
     auto& learned = classes_[spec.job_class];
     if (learned.arrivals > 0) {
         const auto gap = between(learned.last_arrival, now);
@@ -26,7 +26,7 @@
     if (since_ && between(*since_, now) > piled_up) learned.recent += 1;
 }
 
-void Demand::learn(const std::map<std::string, ClassDemand>& now_wanted, TimePoint now) {
+void DemandForecast::learn(const std::map<std::string, ClassDemand>& now_wanted, TimePoint now) {
     if (!since_) since_ = counted_until_ = now;
     const auto counted = between(counted_until_, now);
     const double fade = std::exp(-counted / config_.demand_memory);
@@ -49,7 +49,7 @@
     }
 }
 
-std::map<std::string, Demand::Target> Demand::targets(
+std::map<std::string, DemandForecast::Target> DemandForecast::targets(
     const std::map<std::string, ClassDemand>& now_wanted, TimePoint now) const {
     std::map<std::string, Target> out;
     for (const auto& [name, learned] : classes_) {
@@ -67,7 +67,7 @@
 }
 
 // Machines are kept ready beyond mean demand only for classes that cannot wait for a boot.
-double Demand::headroom(const Learned& learned, double ratio) const {
+double DemandForecast::headroom(const Learned& learned, double ratio) const {
     // One job tells nothing of how its class spreads.
     if (learned.arrivals == 1) return 0;
     const auto& spec = learned.typical;
@@ -88,7 +88,7 @@
 // When a class has been silent for longer than its jobs usually are apart, what was learned of it
 // is believed less and less: the day's work may be over, and idle machines cost as much as busy
 // ones.
-double Demand::still_coming(const Learned& learned, TimePoint now) {
+double DemandForecast::still_coming(const Learned& learned, TimePoint now) {
     if (learned.arrivals < 2) return 1;
     const auto silent = between(learned.last_arrival, now);
     if (silent <= learned.gap * 2) return 1;
@@ -96,7 +96,7 @@
 }
 
 // The part of a typical job of a class that runs at once.
-std::uint32_t Demand::wanted_of_typical(const Learned& learned, double ratio) {
+std::uint32_t DemandForecast::wanted_of_typical(const Learned& learned, double ratio) {
     const auto& spec = learned.typical;
     if (spec.kind != Kind::array || !spec.deadline) return spec.tasks;
     const double run = std::max(spec.estimate.count() * ratio, 0.5);
@@ -107,7 +107,8 @@
 // What a class will want when a machine rented now is up: what waits, what still runs then, and
 // what arrives until then, at the rate of late. In steady times that is what it wants now; while
 // work builds up, the mean of the past is behind by more than a boot.
-double Demand::forecast(const Learned& learned, double ratio, const ClassDemand& demand) const {
+double DemandForecast::forecast(const Learned& learned, double ratio,
+                                const ClassDemand& demand) const {
     constexpr Seconds least_counted{10};
     if (counted_ < least_counted || learned.run <= Seconds{0}) return 0;
     const auto run = learned.run * ratio;
--- a/src/core/demand.hpp
+++ b/src/core/demand.hpp
@@ -18,9 +18,10 @@
     double waiting = 0;
 };
 
-class Demand {
+class DemandForecast {
   public:
-    Demand(const Config& config, const Catalog& catalog, const Estimates& estimates)
+    DemandForecast(const Config& config, const MachineCatalog& catalog,
+                   const RuntimeEstimates& estimates)
         : config_(config), catalog_(catalog), estimates_(estimates) {}
 
     void arrived(const JobSpec& spec, TimePoint now);
@@ -56,8 +57,8 @@
     double forecast(const Learned& learned, double ratio, const ClassDemand& demand) const;
 
     const Config& config_;
-    const Catalog& catalog_;
-    const Estimates& estimates_;
+    const MachineCatalog& catalog_;
+    const RuntimeEstimates& estimates_;
     std::map<std::string, Learned> classes_;
     std::optional<TimePoint> since_;
     TimePoint counted_until_{};
--- a/src/core/direct_calls.cpp
+++ b/src/core/direct_calls.cpp
@@ -10,12 +10,12 @@
 
 }  // namespace
 
-std::vector<DirectCall> DirectCalls::due(TimePoint now, bool may_start) {
-    std::vector<DirectCall> out;
-    for (auto& [name, machine] : fleet_.all()) {
+std::vector<DirectCommand> DirectCommands::due(TimePoint now, bool may_start) {
+    std::vector<DirectCommand> out;
+    for (auto& [name, machine] : inventory_.all()) {
         if (machine.call_out || machine.address.empty() || machine.releasing) continue;
-        DirectCall call{
-            name, machine.address, epoch_, std::max<std::uint64_t>(machine.session, 1), {}};
+        DirectCommand call{
+            name, machine.address, term_, std::max<std::uint64_t>(machine.agent_epoch, 1), {}};
         if ((machine.durable && !machine.confirmed) || machine.deaf_since) {
             // Each recorded machine is asked at once after a takeover: a former controller that
             // does not know it is one may keep the workers' reports to itself. One that does not
@@ -23,10 +23,10 @@
             if (machine.last_call != TimePoint{} && between(machine.last_call, now) < ask_again)
                 continue;
         } else {
-            orders_.stop_ready(machine, now, call.orders);
-            orders_.stop_strangers(machine, now, call.orders);
-            if (may_start) orders_.start_ready(machine, now, true, call.orders);
-            if (call.orders.empty()) continue;
+            command_planner_.stop_ready(machine, now, call.commands);
+            command_planner_.stop_orphaned_tasks(machine, now, call.commands);
+            if (may_start) command_planner_.start_ready(machine, now, true, call.commands);
+            if (call.commands.empty()) continue;
         }
         machine.call_out = true;
         machine.last_call = now;
@@ -36,31 +36,33 @@
 }
 
 // A stop whose direct call failed travels with the next answer to a report.
-void DirectCalls::repeat_stop(const Order& order) {
-    auto* job = pipelines_.find(order.job);
+void DirectCommands::repeat_stop(const TaskCommand& command) {
+    auto* job = job_table_.find(command.job);
     if (!job) return;
-    const auto placed = job->placed.find(order.index);
-    if (placed != job->placed.end() && placed->second.attempt == order.attempt)
+    const auto placed = job->placed.find(command.index);
+    if (placed != job->placed.end() && placed->second.attempt == command.attempt)
         placed->second.stop_sent = TimePoint{};
 }
 
-void DirectCalls::settle_start(Machine& machine, const Order& order, const DirectCall& call,
-                               CallOutcome outcome, const Report* answer) {
-    if (outcome == CallOutcome::unknown) machine.unanswered.insert({order.job, order.attempt});
-    auto* job = pipelines_.find(order.job);
+void DirectCommands::settle_start(Machine& machine, const TaskCommand& command,
+                                  const DirectCommand& call, CommandOutcome outcome,
+                                  const Heartbeat* answer) {
+    if (outcome == CommandOutcome::unknown)
+        machine.unanswered.insert({command.job, command.attempt});
+    auto* job = job_table_.find(command.job);
     if (!job) return;
-    const auto placed = job->placed.find(order.index);
+    const auto placed = job->placed.find(command.index);
     if (placed == job->placed.end()) return;
-    auto& placement = placed->second;
-    if (placement.attempt != order.attempt || placement.machine != call.machine ||
-        placement.stage != Placement::Stage::ordered || !placement.in_flight)
+    auto& assignment = placed->second;
+    if (assignment.attempt != command.attempt || assignment.machine != call.machine ||
+        assignment.stage != Assignment::Stage::ordered || !assignment.in_flight)
         return;
-    if (outcome == CallOutcome::executed && answer) {
-        placement.in_flight = false;
-        placement.ordered_session = answer->session;
-    } else if (outcome == CallOutcome::rejected) {
-        placement.in_flight = false;
-        placement.stage = Placement::Stage::bound;
+    if (outcome == CommandOutcome::executed && answer) {
+        assignment.in_flight = false;
+        assignment.started_in_agent_epoch = answer->agent_epoch;
+    } else if (outcome == CommandOutcome::rejected) {
+        assignment.in_flight = false;
+        assignment.stage = Assignment::Stage::bound;
     }
 }
 
--- a/src/core/direct_calls.hpp
+++ b/src/core/direct_calls.hpp
@@ -13,33 +13,34 @@
 namespace bendspindle::core {
 
 // Without orders it raises the worker's token and brings its report back.
-struct DirectCall {
+struct DirectCommand {
     std::string machine;
     std::string address;
-    std::uint64_t token = 0;
-    std::uint64_t session = 0;
-    std::vector<Order> orders;
+    std::uint64_t fencing_token = 0;
+    std::uint64_t agent_epoch = 0;
+    std::vector<TaskCommand> commands;
 };
-enum class CallOutcome : std::uint8_t { executed, rejected, unknown };
+enum class CommandOutcome : std::uint8_t { executed, rejected, unknown };
 
-class DirectCalls {
+class DirectCommands {
   public:
-    DirectCalls(Fleet& fleet, Pipelines& pipelines, Orders& orders, std::uint64_t epoch)
-        : fleet_(fleet), pipelines_(pipelines), orders_(orders), epoch_(epoch) {}
+    DirectCommands(MachineInventory& inventory, JobTable& pipelines, CommandPlanner& commands,
+                   std::uint64_t term)
+        : inventory_(inventory), job_table_(pipelines), command_planner_(commands), term_(term) {}
 
     // Calls that are due now; they count as made.
-    std::vector<DirectCall> due(TimePoint now, bool may_start);
+    std::vector<DirectCommand> due(TimePoint now, bool may_start);
     // A stop that was not carried out is given again.
-    void repeat_stop(const Order& order);
+    void repeat_stop(const TaskCommand& command);
     // What became of a start. `answer` is the worker's report, if there was one.
-    void settle_start(Machine& machine, const Order& order, const DirectCall& call,
-                      CallOutcome outcome, const Report* answer);
+    void settle_start(Machine& machine, const TaskCommand& command, const DirectCommand& call,
+                      CommandOutcome outcome, const Heartbeat* answer);
 
   private:
-    Fleet& fleet_;
-    Pipelines& pipelines_;
-    Orders& orders_;
-    const std::uint64_t epoch_;
+    MachineInventory& inventory_;
+    JobTable& job_table_;
+    CommandPlanner& command_planner_;
+    const std::uint64_t term_;
 };
 
 }  // namespace bendspindle::core
