--- a/src/core/dispatch.cpp
+++ b/src/core/dispatch.cpp
@@ -2,80 +2,84 @@
 
 namespace bendspindle::core {
 
-Dispatch::Dispatch(const Config& config, const Catalog& catalog, Fleet& fleet, Pipelines& pipelines,
-                   Estimates& estimates, std::uint64_t epoch)
-    : fleet_(fleet),
-      pipelines_(pipelines),
-      epoch_(epoch),
-      failures_(fleet),
-      orders_(config, catalog, fleet, pipelines, estimates, counts_),
-      direct_calls_(fleet, pipelines, orders_, epoch),
-      reconciliation_(catalog, fleet, pipelines, estimates, failures_, starts_, counts_) {}
+AgentGateway::AgentGateway(const Config& config, const MachineCatalog& catalog,
+                           MachineInventory& inventory, JobTable& pipelines,
+                           RuntimeEstimates& estimates, std::uint64_t term)
+    : inventory_(inventory),
+      job_table_(pipelines),
+      term_(term),
+      failure_attribution_(inventory),
+      command_planner_(config, catalog, inventory, pipelines, estimates, counts_),
+      direct_commands_(inventory, pipelines, command_planner_, term),
+      reconciliation_(catalog, inventory, pipelines, estimates, failure_attribution_, starts_,
+                      counts_) {}
 
-void Dispatch::called(const DirectCall& call, CallOutcome outcome, const Report* answer,
-                      TimePoint now) {
-    auto* machine = fleet_.find(call.machine);
+void AgentGateway::called(const DirectCommand& call, CommandOutcome outcome,
+                          const Heartbeat* answer, TimePoint now) {
+    auto* machine = inventory_.find(call.machine);
     if (!machine) return;
     machine->call_out = false;
-    for (const auto& order : call.orders) {
-        if (order.verb == Order::Verb::stop && outcome != CallOutcome::executed)
-            direct_calls_.repeat_stop(order);
-        if (order.verb == Order::Verb::start)
-            direct_calls_.settle_start(*machine, order, call, outcome, answer);
+    for (const auto& command : call.commands) {
+        if (command.verb == TaskCommand::Verb::stop && outcome != CommandOutcome::executed)
+            direct_commands_.repeat_stop(command);
+        if (command.verb == TaskCommand::Verb::start)
+            direct_commands_.settle_start(*machine, command, call, outcome, answer);
     }
-    if (!answer || answer->token > epoch_ || machine->has_seen(*answer)) return;
+    if (!answer || answer->fencing_token > term_ || machine->has_seen(*answer)) return;
     // The worker was asked under a wrong session; the right one is tried at once.
-    if (answer->session != call.session) machine->last_call = TimePoint{};
-    fleet_.observe(*machine, *answer, Fleet::By::call, now);
-    if (answer->token < epoch_) return;
-    fleet_.confirm(*machine, now);
-    Fleet::hears(*machine);
+    if (answer->agent_epoch != call.agent_epoch) machine->last_call = TimePoint{};
+    inventory_.observe(*machine, *answer, MachineInventory::By::call, now);
+    if (answer->fencing_token < term_) return;
+    inventory_.confirm(*machine, now);
+    MachineInventory::hears(*machine);
     // What it would order goes out with the next report; nothing here depends on its arrival.
-    std::vector<Order> later_orders;
+    std::vector<TaskCommand> later_orders;
     reconciliation_.reconcile(*machine, *answer, Reconciliation::Source::direct_answer, now,
                               later_orders);
 }
 
-ReportAnswer Dispatch::report(const Report& report, TimePoint now) {
-    if (report.token > epoch_) return {false, epoch_, {}};
-    ReportAnswer answer{true, epoch_, {}};
+HeartbeatResponse AgentGateway::heartbeat(const Heartbeat& heartbeat, TimePoint now) {
+    if (heartbeat.fencing_token > term_) return {false, term_, {}};
+    HeartbeatResponse answer{true, term_, {}};
     // A machine whose release was answered is gone; this report was held up on its way.
-    if (fleet_.gone(report.machine)) return answer;
+    if (inventory_.gone(heartbeat.machine)) return answer;
     // Guard against held-up reports and copies: an older list must never replace a newer one, nor
     // an address or a type. Where a direct answer has overtaken a report, its worker still takes
     // this answer as a renewal.
-    if (const auto* known = fleet_.find(report.machine); known && known->has_seen(report)) {
-        orders_.stop_finished_jobs(report, answer.orders);
+    if (const auto* known = inventory_.find(heartbeat.machine);
+        known && known->has_seen(heartbeat)) {
+        command_planner_.stop_finished_jobs(heartbeat, answer.commands);
         return answer;
     }
-    auto& machine = fleet_.meet(report, now);
-    fleet_.observe(machine, report, Fleet::By::report, now);
+    auto& machine = inventory_.meet(heartbeat, now);
+    inventory_.observe(machine, heartbeat, MachineInventory::By::heartbeat, now);
     // Guard against ran_twice: until the machine has seen this token, a start of the former
-    // epoch may still take effect after the list was made.
-    if (report.token < epoch_) {
-        orders_.stop_finished_jobs(report, answer.orders);
+    // term may still take effect after the list was made.
+    if (heartbeat.fencing_token < term_) {
+        command_planner_.stop_finished_jobs(heartbeat, answer.commands);
         return answer;
     }
-    fleet_.confirm(machine, now);
-    fleet_.heed(machine, report, now);
-    reconciliation_.reconcile(machine, report, Reconciliation::Source::report, now, answer.orders);
+    inventory_.confirm(machine, now);
+    inventory_.heed(machine, heartbeat, now);
+    reconciliation_.reconcile(machine, heartbeat, Reconciliation::Source::heartbeat, now,
+                              answer.commands);
     if (machine.taken_at) {
-        orders_.drain(machine, now);
-        orders_.unbind(machine);
+        command_planner_.drain(machine, now);
+        command_planner_.unbind(machine);
     }
-    orders_.stop_ready(machine, now, answer.orders);
-    orders_.stop_finished_jobs(report, answer.orders);
-    orders_.start_ready(machine, now, false, answer.orders);
+    command_planner_.stop_ready(machine, now, answer.commands);
+    command_planner_.stop_finished_jobs(heartbeat, answer.commands);
+    command_planner_.start_ready(machine, now, false, answer.commands);
     if (!machine.held.empty()) machine.idle_since = now;
-    machine.asked = answer.orders;
+    machine.asked = answer.commands;
     return answer;
 }
 
-void Dispatch::released(const std::string& name) {
-    auto* machine = fleet_.find(name);
+void AgentGateway::released(const std::string& name) {
+    auto* machine = inventory_.find(name);
     if (!machine) return;
-    counts_.lost += pipelines_.lose(*machine);
-    fleet_.remove(name);
+    counts_.lost += job_table_.lose(*machine);
+    inventory_.remove(name);
 }
 
 }  // namespace bendspindle::core
--- a/src/core/dispatch.hpp
+++ b/src/core/dispatch.hpp
@@ -25,48 +25,49 @@
 
 namespace bendspindle::core {
 
-struct ReportAnswer {
+struct HeartbeatResponse {
     bool entitled = true;  // false: the worker knows a newer token than this controller
-    std::uint64_t token = 0;
-    std::vector<Order> orders;
+    std::uint64_t fencing_token = 0;
+    std::vector<TaskCommand> commands;
 };
 
-class Dispatch {
+class AgentGateway {
   public:
-    Dispatch(const Config& config, const Catalog& catalog, Fleet& fleet, Pipelines& pipelines,
-             Estimates& estimates, std::uint64_t epoch);
+    AgentGateway(const Config& config, const MachineCatalog& catalog, MachineInventory& inventory,
+                 JobTable& pipelines, RuntimeEstimates& estimates, std::uint64_t term);
     // Its parts refer to each other.
-    Dispatch(const Dispatch&) = delete;
-    Dispatch& operator=(const Dispatch&) = delete;
+    AgentGateway(const AgentGateway&) = delete;
+    AgentGateway& operator=(const AgentGateway&) = delete;
 
-    ReportAnswer report(const Report& report, TimePoint now);
+    HeartbeatResponse heartbeat(const Heartbeat& heartbeat, TimePoint now);
     // Direct calls that are due now; each is settled by `called`.
-    std::vector<DirectCall> direct_calls(TimePoint now, bool may_start) {
-        return direct_calls_.due(now, may_start);
+    std::vector<DirectCommand> direct_commands(TimePoint now, bool may_start) {
+        return direct_commands_.due(now, may_start);
     }
     // `answer` is the worker's report, if there was one.
-    void called(const DirectCall& call, CallOutcome outcome, const Report* answer, TimePoint now);
+    void called(const DirectCommand& call, CommandOutcome outcome, const Heartbeat* answer,
+                TimePoint now);
     // What must leave machines that are taken, returned or failing.
-    void drain(TimePoint now) { orders_.drain(now); }
+    void drain(TimePoint now) { command_planner_.drain(now); }
     // The release of a machine was answered.
     void released(const std::string& name);
     // Jobs that are over, as far as they are known, with tasks on machines by the books or by the
     // last report: whoever renews the leases of these machines has to stop them.
-    std::set<std::string> jobs_to_end() const { return orders_.jobs_to_end(); }
-    const DispatchCounts& counts() const { return counts_; }
+    std::set<std::string> jobs_to_end() const { return command_planner_.jobs_to_end(); }
+    const AgentCounters& counts() const { return counts_; }
     // Jobs that have started since the last call.
-    std::vector<StartStory> take_started() { return starts_.take(); }
+    std::vector<StartLatencyBreakdown> take_started() { return starts_.take(); }
 
   private:
-    Fleet& fleet_;
-    Pipelines& pipelines_;
-    const std::uint64_t epoch_;
+    MachineInventory& inventory_;
+    JobTable& job_table_;
+    const std::uint64_t term_;
     // In the order of what refers to what.
-    DispatchCounts counts_;
-    StartStories starts_;
-    Failures failures_;
-    Orders orders_;
-    DirectCalls direct_calls_;
+    AgentCounters counts_;
+    StartLatencyTracker starts_;
+    FailureAttribution failure_attribution_;
+    CommandPlanner command_planner_;
+    DirectCommands direct_commands_;
     Reconciliation reconciliation_;
 };
 
--- a/src/core/dispatch_counts.hpp
+++ b/src/core/dispatch_counts.hpp
@@ -5,7 +5,7 @@
 
 namespace bendspindle::core {
 
-struct DispatchCounts {
+struct AgentCounters {
     std::uint64_t starts = 0, lost = 0, errors = 0, refused_starts = 0;
 };
 
--- a/src/core/estimates.cpp
+++ b/src/core/estimates.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void Estimates::ran(Job& job, Seconds time) {
+void RuntimeEstimates::ran(Job& job, Seconds time) {
     ++job.run_count;
     job.run_mean += (time - job.run_mean) / std::min<double>(job.run_count, 20);
     if (job.spec.estimate.count() <= 0) return;
@@ -23,22 +23,23 @@
     learned.ratio += (ratio - learned.ratio) / std::min<double>(learned.samples + 3, 30);
 }
 
-double Estimates::ratio(const std::string& job_class) const {
+double RuntimeEstimates::ratio(const std::string& job_class) const {
     const auto it = classes_.find(job_class);
     return it == classes_.end() ? 1 : it->second.ratio;
 }
 
-Seconds Estimates::expected_run(const Job& job) const {
+Seconds RuntimeEstimates::expected_run(const Job& job) const {
     if (job.run_count > 0) return std::max(job.run_mean, least_run);
     return std::max(job.spec.estimate * ratio(job.spec.job_class), least_run);
 }
 
-Seconds Estimates::remaining(const Job& job, const Placement& placement, TimePoint now) const {
+Seconds RuntimeEstimates::remaining(const Job& job, const Assignment& assignment,
+                                    TimePoint now) const {
     const auto run = expected_run(job);
-    if (placement.stage != Placement::Stage::on || placement.state == TaskState::fetching ||
-        placement.state == TaskState::waiting)
+    if (assignment.stage != Assignment::Stage::on || assignment.state == TaskState::fetching ||
+        assignment.state == TaskState::waiting)
         return run;
-    const auto ran = between(placement.running_from, now);
+    const auto ran = between(assignment.running_from, now);
     // A task that outlives its estimate is taken to need a quarter of what it has had, again.
     return std::max(run - ran, ran * 0.25);
 }
--- a/src/core/estimates.hpp
+++ b/src/core/estimates.hpp
@@ -8,7 +8,7 @@
 
 namespace bendspindle::core {
 
-class Estimates {
+class RuntimeEstimates {
   public:
     // A task of the job completed after running this long.
     void ran(Job& job, Seconds time);
@@ -16,7 +16,7 @@
     double ratio(const std::string& job_class) const;
     Seconds expected_run(const Job& job) const;
     // How much longer a placed task is expected to take.
-    Seconds remaining(const Job& job, const Placement& placement, TimePoint now) const;
+    Seconds remaining(const Job& job, const Assignment& assignment, TimePoint now) const;
 
   private:
     struct Learned {
--- a/src/core/failures.cpp
+++ b/src/core/failures.cpp
@@ -18,14 +18,15 @@
 
 }  // namespace
 
-void Failures::task_done(Machine& machine, Job& job) {
+void FailureAttribution::task_done(Machine& machine, Job& job) {
     if (!job.failed_on.empty()) clear_job(job);
     machine.failed_jobs.clear();
     judge(machine);
 }
 
 // Failures of several jobs speak against the machine, failures everywhere against the job.
-void Failures::task_failed(Machine& machine, Job& job, TimePoint ordered_at, TimePoint now) {
+void FailureAttribution::task_failed(Machine& machine, Job& job, TimePoint ordered_at,
+                                     TimePoint now) {
     const bool suspected = job.suspect();
     job.failed_on.insert(machine.name);
     if (job.suspect() && !suspected) weigh(job, of_a_suspect);
@@ -41,9 +42,9 @@
 
 // Guard against healthy machines returned for a mistake in a job: its tasks fail wherever they are
 // started, and two such jobs were enough to speak against each machine they came by.
-void Failures::weigh(const Job& job, double weight) {
+void FailureAttribution::weigh(const Job& job, double weight) {
     for (const auto& name : job.failed_on) {
-        auto* other = fleet_.find(name);
+        auto* other = inventory_.find(name);
         if (!other) continue;
         const auto entry = other->failed_jobs.find(job.spec.id);
         if (entry == other->failed_jobs.end()) continue;
@@ -53,13 +54,13 @@
 }
 
 // It can be done, so where it failed the machine was at fault.
-void Failures::clear_job(Job& job) {
+void FailureAttribution::clear_job(Job& job) {
     weigh(job, 1);
     job.failed_on.clear();
     job.errors = 0;
 }
 
-void Failures::judge(Machine& machine) {
+void FailureAttribution::judge(Machine& machine) {
     double against = 0;
     for (const auto& [id, weight] : machine.failed_jobs) against += weight;
     machine.failing = against >= against_a_machine;
--- a/src/core/failures.hpp
+++ b/src/core/failures.hpp
@@ -7,9 +7,9 @@
 
 namespace bendspindle::core {
 
-class Failures {
+class FailureAttribution {
   public:
-    explicit Failures(Fleet& fleet) : fleet_(fleet) {}
+    explicit FailureAttribution(MachineInventory& inventory) : inventory_(inventory) {}
 
     // A task of the job was done on the machine: nothing speaks against either any more.
     void task_done(Machine& machine, Job& job);
@@ -21,7 +21,7 @@
     void clear_job(Job& job);
     static void judge(Machine& machine);
 
-    Fleet& fleet_;
+    MachineInventory& inventory_;
 };
 
 }  // namespace bendspindle::core
--- a/src/core/fleet.hpp
+++ b/src/core/fleet.hpp
@@ -1,7 +1,7 @@
 // Owner of the machines: which there are, what is known of each, what each holds, and what proves
 // that one is gone.
 //
-//  - The token is the epoch of the view. A machine is *confirmed* once a message of its own shows
+//  - The token is the term of the view. A machine is *confirmed* once a message of its own shows
 //    it; from then on its task list is the truth (docs/design.md, "Placing anew").
 //  - Only `remove` says that a machine is gone, and only an answered release leads to it.
 //  - Heard and hearing are two facts. A report proves that a machine is heard. That it hears is
@@ -32,7 +32,7 @@
 // than it changes. Both live as long as the entry (`Pipelines::drop` removes them together).
 struct HeldTask {
     Job* job = nullptr;
-    Placement* placement = nullptr;
+    Assignment* assignment = nullptr;
 };
 using HeldKey = std::pair<std::uint64_t, std::uint32_t>;  // job serial, task
 
@@ -52,18 +52,18 @@
 
     bool unreadable = false;   // its record: anything may run there until it is confirmed
     bool durable = false;      // recorded in the state service: starts may be ordered
-    bool confirmed = false;    // a report of its own has shown this epoch's token
-    bool reported = false;     // any report in this epoch
-    bool cloud_knows = false;  // rented or listed in this epoch: no late copy made it up
+    bool confirmed = false;    // a report of its own has shown this term's token
+    bool reported = false;     // any report in this term
+    bool cloud_knows = false;  // rented or listed in this term: no late copy made it up
     bool releasing = false;
     bool failing = false;  // tasks of several jobs failed on it
-    std::uint64_t stamp = 0;
-    std::uint64_t session = 0;
-    std::uint64_t seq = 0;
+    std::uint64_t mod_revision = 0;
+    std::uint64_t agent_epoch = 0;
+    std::uint64_t sequence = 0;
     TimePoint first_seen{};
-    TimePoint last_report{};  // or later, where this controller itself stood still
-    TimePoint heard_at{};     // its last message, for certain
-    TimePoint reported_at{};  // its last report of its own accord, or its first sign of life
+    TimePoint last_heartbeat{};  // or later, where this controller itself stood still
+    TimePoint heard_at{};        // its last message, for certain
+    TimePoint heartbeat_at{};    // its last report of its own accord, or its first sign of life
     TimePoint idle_since{};
     TimePoint loaded_at{};
     std::optional<TimePoint> unwanted_since;  // planning has had no use for it
@@ -71,19 +71,19 @@
     std::optional<TimePoint> taken_at;        // spot notice: when the cloud takes it
     std::vector<ReportedTask> tasks;          // of the last report
     std::map<HeldKey, HeldTask> held;
-    Resources strays;        // of tasks in the last report that are no placement of ours
-    bool strangers = false;  // tasks of jobs that are over or not understood are there
-    std::optional<TimePoint> strangers_since;  // tasks of jobs that are over
-    TimePoint strangers_told{};                // when stops for them last went out by direct call
-    std::vector<CachedImage> images;           // most recently used last
+    Resources untracked_resources;    // of tasks in the last report that are no placement of ours
+    bool has_orphaned_tasks = false;  // tasks of jobs that are over or not understood are there
+    std::optional<TimePoint> orphaned_since;  // tasks of jobs that are over
+    TimePoint orphans_stopped_at{};           // when stops for them last went out by direct call
+    std::vector<CachedImage> images;          // most recently used last
     // Jobs of which a task failed here since a task was last done, with what that says against the
     // machine; 1 of each, less of jobs that fail everywhere.
     std::map<std::string, double> failed_jobs;
     // What the answer to its last report ordered, until the next one shows whether it was heard.
-    std::vector<Order> asked;
+    std::vector<TaskCommand> asked;
     std::uint32_t unheeded = 0;            // reports in a row that showed none of what was ordered
     std::optional<TimePoint> deaf_since;   // heard, but by all signs it does not hear
-    std::optional<TimePoint> heard_since;  // its first report in this epoch
+    std::optional<TimePoint> heard_since;  // its first report in this term
     bool call_out = false;                 // one direct call at a time
     TimePoint last_call{};
     // Attempts whose direct start was never answered: a late copy may still arrive, and would
@@ -94,14 +94,16 @@
     // What its tasks take, bound ones included.
     Resources used() const;
     // Whether a message of this session and sequence is older than one already seen.
-    bool has_seen(const Report& report) const {
-        return std::pair(report.session, report.seq) <= std::pair(session, seq);
+    bool has_seen(const Heartbeat& heartbeat) const {
+        return std::pair(heartbeat.agent_epoch, heartbeat.sequence) <=
+               std::pair(agent_epoch, sequence);
     }
 };
 
-class Fleet {
+class MachineInventory {
   public:
-    Fleet(const Config& config, const Catalog& catalog) : config_(config), catalog_(catalog) {}
+    MachineInventory(const Config& config, const MachineCatalog& catalog)
+        : config_(config), catalog_(catalog) {}
 
     std::map<std::string, Machine>& all() { return machines_; }
     const std::map<std::string, Machine>& all() const { return machines_; }
@@ -111,22 +113,23 @@
 
     void catalog_changed();
     // Ways in which machines become known.
-    void load(const ListedMachine& record, std::uint64_t stamp, TimePoint now);
+    void load(const ListedMachine& record, std::uint64_t mod_revision, TimePoint now);
     // Its name is all that is known of it: until it reports or is gone it may hold anything.
-    void load_unreadable(const std::string& name, std::uint64_t stamp, TimePoint now);
-    Machine& meet(const Report& report, TimePoint now);
-    void rented(const RentRequest& request, const std::vector<std::string>& names, TimePoint now);
+    void load_unreadable(const std::string& name, std::uint64_t mod_revision, TimePoint now);
+    Machine& meet(const Heartbeat& heartbeat, TimePoint now);
+    void scaled_out(const ScaleOutRequest& request, const std::vector<std::string>& names,
+                    TimePoint now);
     // The whole list, asked for at `asked`.
     void listed(const std::vector<ListedMachine>& machines, TimePoint asked, TimePoint now);
 
     // How a machine's message came: of its own accord, or because it was called.
-    enum class By : std::uint8_t { report, call };
+    enum class By : std::uint8_t { heartbeat, call };
     // What a message of the machine's own says of it.
-    void observe(Machine& machine, const Report& report, By by, TimePoint now);
-    // Its message has shown this epoch's token.
+    void observe(Machine& machine, const Heartbeat& heartbeat, By by, TimePoint now);
+    // Its message has shown this term's token.
     void confirm(Machine& machine, TimePoint now);
     // What a newer report shows of the orders that the answer before it carried.
-    void heed(Machine& machine, const Report& report, TimePoint now);
+    void heed(Machine& machine, const Heartbeat& heartbeat, TimePoint now);
     // It has shown that a word of ours arrived.
     static void hears(Machine& machine);
     // Called at least once a cycle, before time is judged by: a longer pause is this controller's
@@ -145,9 +148,9 @@
     bool allows(const JobSpec& spec, const Machine& machine) const {
         return machine.type_known && allowed(spec, machine.type_name, machine.zone, machine.spot);
     }
-    // Could a job of an older epoch have tasks on machines that are not confirmed yet?
+    // Could a job of an older term have tasks on machines that are not confirmed yet?
     bool in_doubt(const Job& job) const;
-    // Recorded machines that have not shown this epoch's token.
+    // Recorded machines that have not shown this term's token.
     std::size_t unconfirmed() const;
     void note_image(Machine& machine, const Job& job);
 
@@ -158,18 +161,18 @@
     }
 
     // Records in the state service. Guard against a record for nothing: a copy of an old report
-    // made a machine again, and work of the epoch before waited for its confirmation.
+    // made a machine again, and work of the term before waited for its confirmation.
     bool wants_record(const Machine& machine) const {
         return !machine.durable && !machine.releasing && machine.type_known && machine.reported &&
                certain(machine);
     }
-    // Gone machines whose records are to go, with the records' stamps.
+    // Gone machines whose records are to go, with the records' mod_revisions.
     const std::map<std::string, std::uint64_t>& records_to_drop() const { return dropping_; }
-    void recorded(const std::string& name, std::uint64_t stamp);
+    void recorded(const std::string& name, std::uint64_t mod_revision);
     void record_dropped(const std::string& name) { dropping_.erase(name); }
-    void restamp(const std::string& name, std::uint64_t stamp);
-    // `stamp` 0: there is no record any more.
-    void restamp_dropping(const std::string& name, std::uint64_t stamp);
+    void set_mod_revision(const std::string& name, std::uint64_t mod_revision);
+    // `mod_revision` 0: there is no record any more.
+    void set_dropped_mod_revision(const std::string& name, std::uint64_t mod_revision);
 
   private:
     TimePoint seen_in_list_by(const Machine& machine) const;
@@ -180,7 +183,7 @@
                   const std::string& zone, bool spot);
 
     const Config& config_;
-    const Catalog& catalog_;
+    const MachineCatalog& catalog_;
     std::map<std::string, Machine> machines_;
     std::map<std::string, std::uint64_t> dropping_;
     std::optional<TimePoint> kept_time_;  // last
--- a/src/core/job.cpp
+++ b/src/core/job.cpp
@@ -38,7 +38,8 @@
 }
 
 JobRecord to_record(const Job& job, const std::string& home) {
-    return JobRecord{job.spec, home, job.submitted, job.last_attempt, done_ranges(job), job.final};
+    return JobRecord{job.spec,          home, job.submitted, job.last_attempt, done_ranges(job),
+                     job.terminal_state};
 }
 
 }  // namespace bendspindle::core
--- a/src/core/job.hpp
+++ b/src/core/job.hpp
@@ -12,7 +12,7 @@
 
 namespace bendspindle::core {
 
-enum class Final : std::uint8_t { none, done, cancelled };
+enum class TerminalState : std::uint8_t { none, done, cancelled };
 
 using Range = std::pair<std::uint32_t, std::uint32_t>;  // first and last task, both included
 
@@ -23,7 +23,7 @@
     WallTime submitted{};
     std::uint64_t last_attempt = 0;
     std::vector<Range> done;
-    Final final = Final::none;
+    TerminalState terminal_state = TerminalState::none;
 };
 
 enum class TaskPhase : std::uint8_t {
@@ -33,7 +33,7 @@
     durable,  // completed, and the done-set that says so is durable
 };
 
-struct Placement {
+struct Assignment {
     enum class Stage : std::uint8_t {
         bound,    // in a machine's ready list; no order given
         ordered,  // a start went out
@@ -43,7 +43,7 @@
     std::uint64_t attempt = 0;
     Stage stage = Stage::bound;
     TaskState state = TaskState::fetching;
-    std::uint64_t ordered_session = 0;
+    std::uint64_t started_in_agent_epoch = 0;
     // The start went out in a direct call and its outcome is not known: the call may still be on
     // its way, so the task's absence from a report proves nothing.
     bool in_flight = false;
@@ -77,15 +77,15 @@
     // more, and the job was stopped again for those who had kept it waiting.
     bool floored = false;
     bool started = false;        // all tasks of a gang, or one of an array, have run at once
-    bool accepted_here = false;  // in this epoch: no older epoch can have started any of it
-    Final final = Final::none;
-    bool final_durable = false;
-    bool final_sent = false;  // the write of it may have been carried out, or may yet be
+    bool accepted_here = false;  // in this term: no older term can have started any of it
+    TerminalState terminal_state = TerminalState::none;
+    bool terminal_state_durable = false;
+    bool terminal_state_sent = false;  // the write of it may have been carried out, or may yet be
     bool durable = false;
     bool found = false;  // its first record turned out to be written already, by another controller
     std::uint64_t last_attempt = 0;
     std::vector<TaskPhase> phase;
-    std::map<std::uint32_t, Placement> placed;
+    std::map<std::uint32_t, Assignment> placed;
     std::uint32_t finished = 0;     // done or durable
     std::uint32_t placed_open = 0;  // tasks whose phase is `placed`
     std::size_t image = 0;          // dsmf::image_id of the spec's image
@@ -97,16 +97,16 @@
     TimePoint not_before{};
     TimePoint cancelled_at{};
     // Writing.
-    std::uint64_t stamp = 0;    // of the record in the state service; 0: none yet
-    std::uint64_t changed = 0;  // counts changes of what the record holds
-    std::uint64_t written = 0;  // the change that is durable
+    std::uint64_t mod_revision = 0;  // of the record in the state service; 0: none yet
+    std::uint64_t changed = 0;       // counts changes of what the record holds
+    std::uint64_t written = 0;       // the change that is durable
     TimePoint changed_at{};
     Seconds run_mean{0};  // of this job's own tasks, once some have completed
     std::uint32_t run_count = 0;
 
     std::uint32_t idle_count() const { return spec.tasks - finished - placed_open; }
     void set_phase(std::uint32_t index, TaskPhase to);
-    bool over() const { return final != Final::none; }
+    bool over() const { return terminal_state != TerminalState::none; }
     // Fails on every machine so far: submitted with a mistake, perhaps.
     bool suspect() const { return failed_on.size() >= machines_against_a_job && finished == 0; }
     // How many of its tasks are tried at once.
--- a/src/core/ledger.cpp
+++ b/src/core/ledger.cpp
@@ -18,11 +18,11 @@
 
 }  // namespace
 
-Standing Ledger::standing(TimePoint now) const {
-    Standing out(config_, Capacity(catalog_, fleet_));
+QuotaSnapshot QuotaAccounting::snapshot(TimePoint now) const {
+    QuotaSnapshot out(config_, Capacity(catalog_, inventory_));
     for (const auto& team : config_.teams) out.use_[team.name] = Resources{};
     std::map<std::string, Resources> claimed;
-    for (const auto& [serial, job] : pipelines_.all()) {
+    for (const auto& [serial, job] : job_table_.all()) {
         out.use_[job->spec.team] += job->spec.need * static_cast<double>(job->placed.size());
         if (job->over()) continue;
         auto& claim = claimed[job->spec.team];
@@ -36,11 +36,11 @@
     }
     // Guard against `quota` after a takeover: what an unconfirmed machine runs is not known, so
     // all of it counts against every team.
-    for (const auto& [name, machine] : fleet_.all()) {
+    for (const auto& [name, machine] : inventory_.all()) {
         // Guard: nor is it known whose the tasks of jobs are that were over before the takeover. A
         // team at its limit was given the room of a cancelled job before that had left.
-        if (machine.confirmed && machine.strangers)
-            for (auto& [team, use] : out.use_) use += machine.strays;
+        if (machine.confirmed && machine.has_orphaned_tasks)
+            for (auto& [team, use] : out.use_) use += machine.untracked_resources;
         if (machine.confirmed || !machine.durable) continue;
         if (!machine.type_known && !machine.unreadable) continue;
         for (auto& [team, use] : out.use_)
@@ -50,16 +50,16 @@
     return out;
 }
 
-void Ledger::fill_floors(Standing& standing, TimePoint now) const {
+void QuotaAccounting::fill_floors(QuotaSnapshot& quota, TimePoint now) const {
     std::vector<admission::Holding> holdings;
     std::vector<std::uint64_t> serials;
-    for (const auto& [serial, job] : pipelines_.all()) {
+    for (const auto& [serial, job] : job_table_.all()) {
         if (job->over() || !job->durable) continue;
         admission::Holding holding;
         holding.job_class = job->spec.job_class;
         holding.team = job->spec.team;
-        holding.used = standing.share(*job, job->placed.size());
-        holding.waiting = standing.share(*job, job->idle_count());
+        holding.used = quota.share(*job, job->placed.size());
+        holding.waiting = quota.share(*job, job->idle_count());
         if (job->waits_since) holding.waited = between(*job->waits_since, now);
         holding.kept = job->floored;
         holdings.push_back(holding);
@@ -70,16 +70,16 @@
     // its floor most of the time kept a long one of another class out at each turn.
     int rank = floors_from;
     for (std::size_t i = 0; i < serials.size(); ++i) {
-        if (floored.class_shelters[i]) standing.class_shelters_.insert(serials[i]);
-        if (floored.team_shelters[i]) standing.team_shelters_.insert(serials[i]);
+        if (floored.class_shelters[i]) quota.class_shelters_.insert(serials[i]);
+        if (floored.team_shelters[i]) quota.team_shelters_.insert(serials[i]);
         if (floored.jobs[i]) {
-            standing.floored_.emplace(serials[i], rank);
+            quota.floored_.emplace(serials[i], rank);
             if (holdings[i].waiting > 0) rank = std::min(rank + 1, floors_to);
         }
     }
 }
 
-int Standing::rank(const Job& job) const {
+int QuotaSnapshot::rank(const Job& job) const {
     int rank = job.spec.kind == Kind::service ? 0 : service_step;
     if (const auto it = floored_.find(job.serial); it != floored_.end() && rank > 0)
         return it->second;
@@ -87,7 +87,7 @@
     return rank + static_cast<int>(Priority::production) - static_cast<int>(job.spec.priority);
 }
 
-std::uint32_t Standing::room(const Job& job) const {
+std::uint32_t QuotaSnapshot::room(const Job& job) const {
     const auto* team = config_.team(job.spec.team);
     if (!team) return 0;
     const auto& use = use_.at(job.spec.team);
--- a/src/core/ledger.hpp
+++ b/src/core/ledger.hpp
@@ -17,9 +17,9 @@
 namespace bendspindle::core {
 
 // The teams' accounts at one moment; decisions taken since are entered with `take`.
-class Standing {
+class QuotaSnapshot {
   public:
-    Standing(const Config& config, Capacity capacity)
+    QuotaSnapshot(const Config& config, Capacity capacity)
         : config_(config), capacity_(std::move(capacity)) {}
 
     // How many more of the job's tasks its team's limit allows now.
@@ -40,7 +40,7 @@
     void take(const Job& job) { use_[job.spec.team] += job.spec.need; }
 
   private:
-    friend class Ledger;
+    friend class QuotaAccounting;
     const Config& config_;
     std::map<std::string, Resources> use_;
     Capacity capacity_;
@@ -50,20 +50,20 @@
     std::unordered_set<std::uint64_t> team_shelters_;
 };
 
-class Ledger {
+class QuotaAccounting {
   public:
-    Ledger(const Config& config, const Catalog& catalog, const Fleet& fleet,
-           const Pipelines& pipelines)
-        : config_(config), catalog_(catalog), fleet_(fleet), pipelines_(pipelines) {}
-    Standing standing(TimePoint now) const;
+    QuotaAccounting(const Config& config, const MachineCatalog& catalog,
+                    const MachineInventory& inventory, const JobTable& pipelines)
+        : config_(config), catalog_(catalog), inventory_(inventory), job_table_(pipelines) {}
+    QuotaSnapshot snapshot(TimePoint now) const;
 
   private:
-    void fill_floors(Standing& standing, TimePoint now) const;
+    void fill_floors(QuotaSnapshot& quota, TimePoint now) const;
 
     const Config& config_;
-    const Catalog& catalog_;
-    const Fleet& fleet_;
-    const Pipelines& pipelines_;
+    const MachineCatalog& catalog_;
+    const MachineInventory& inventory_;
+    const JobTable& job_table_;
 };
 
 }  // namespace bendspindle::core
--- a/src/core/orders.hpp
+++ b/src/core/orders.hpp
@@ -17,27 +17,29 @@
 namespace bendspindle::core {
 
 // An order that concerns a reported task; a stop of this form gives it no time to save.
-Order order_for(Order::Verb verb, const ReportedTask& task);
+TaskCommand order_for(TaskCommand::Verb verb, const ReportedTask& task);
 
-class Orders {
+class CommandPlanner {
   public:
-    Orders(const Config& config, const Catalog& catalog, Fleet& fleet, Pipelines& pipelines,
-           const Estimates& estimates, DispatchCounts& counts)
+    CommandPlanner(const Config& config, const MachineCatalog& catalog, MachineInventory& inventory,
+                   JobTable& pipelines, const RuntimeEstimates& estimates, AgentCounters& counts)
         : config_(config),
           catalog_(catalog),
-          fleet_(fleet),
-          pipelines_(pipelines),
+          inventory_(inventory),
+          job_table_(pipelines),
           estimates_(estimates),
           counts_(counts) {}
 
     // Stops that are due and not on their way already.
-    void stop_ready(Machine& machine, TimePoint now, std::vector<Order>& orders) const;
+    void stop_ready(Machine& machine, TimePoint now, std::vector<TaskCommand>& commands) const;
     // Starts of the ready list, as far as there is room. `direct`: they go out in a direct call.
-    void start_ready(Machine& machine, TimePoint now, bool direct, std::vector<Order>& orders);
+    void start_ready(Machine& machine, TimePoint now, bool direct,
+                     std::vector<TaskCommand>& commands);
     // Stops of all that the report shows of jobs that are over.
-    void stop_finished_jobs(const Report& report, std::vector<Order>& orders) const;
+    void stop_finished_jobs(const Heartbeat& heartbeat, std::vector<TaskCommand>& commands) const;
     // Stops, by direct call, of what was over already when this controller took over.
-    void stop_strangers(Machine& machine, TimePoint now, std::vector<Order>& orders) const;
+    void stop_orphaned_tasks(Machine& machine, TimePoint now,
+                             std::vector<TaskCommand>& commands) const;
     // Jobs that are over, as far as they are known, with tasks on machines by the books or by the
     // last report: whoever renews the leases of these machines has to stop them.
     std::set<std::string> jobs_to_end() const;
@@ -52,11 +54,11 @@
     bool must_end(const std::string& id) const;
 
     const Config& config_;
-    const Catalog& catalog_;
-    Fleet& fleet_;
-    Pipelines& pipelines_;
-    const Estimates& estimates_;
-    DispatchCounts& counts_;
+    const MachineCatalog& catalog_;
+    MachineInventory& inventory_;
+    JobTable& job_table_;
+    const RuntimeEstimates& estimates_;
+    AgentCounters& counts_;
 };
 
 }  // namespace bendspindle::core
--- a/src/core/placing.cpp
+++ b/src/core/placing.cpp
@@ -17,44 +17,45 @@
 
 }  // namespace
 
-void Placing::unbind_all(TimePoint now) {
-    for (auto& [serial, job] : pipelines_.all()) {
+void PlacementCycle::unbind_all(TimePoint now) {
+    for (auto& [serial, job] : job_table_.all()) {
         const bool gang = job->spec.kind == Kind::gang;
         // A gang that has begun to start keeps its places: its tasks share one attempt.
         if (gang && std::any_of(job->placed.begin(), job->placed.end(), [](const auto& entry) {
-                return entry.second.stage != Placement::Stage::bound;
+                return entry.second.stage != Assignment::Stage::bound;
             }))
             continue;
         std::vector<std::uint32_t> strike;
-        for (const auto& [index, placement] : job->placed) {
-            if (placement.stage != Placement::Stage::bound) continue;
-            const auto* machine = fleet_.find(placement.machine);
-            const bool held = placement.held_until > now && machine && fleet_.usable(*machine, now);
+        for (const auto& [index, assignment] : job->placed) {
+            if (assignment.stage != Assignment::Stage::bound) continue;
+            const auto* machine = inventory_.find(assignment.machine);
+            const bool held =
+                assignment.held_until > now && machine && inventory_.usable(*machine, now);
             if (!held) strike.push_back(index);
         }
         if (gang && !strike.empty()) {
             strike.clear();
-            for (const auto& [index, placement] : job->placed) strike.push_back(index);
+            for (const auto& [index, assignment] : job->placed) strike.push_back(index);
         }
-        for (const auto index : strike) pipelines_.drop(*job, index);
+        for (const auto index : strike) job_table_.drop(*job, index);
     }
 }
 
 // Guard against a gang that waits for tasks which nobody will start: its controller ended between
 // the starts, and what was found of it held its places until it gave itself up. Once no machine can
 // hold the rest it is begun anew as a whole.
-void Placing::break_partial_gangs() {
-    for (const auto& [serial, job] : pipelines_.all()) {
+void PlacementCycle::break_partial_gangs() {
+    for (const auto& [serial, job] : job_table_.all()) {
         if (job->spec.kind != Kind::gang || job->over() || job->accepted_here) continue;
         if (job->placed.empty() || job->placed.size() == job->spec.tasks) continue;
-        if (fleet_.in_doubt(*job)) continue;
+        if (inventory_.in_doubt(*job)) continue;
         std::set<std::uint64_t> attempts;
-        for (const auto& [index, placement] : job->placed) attempts.insert(placement.attempt);
-        for (const auto attempt : attempts) pipelines_.break_gang(*job, attempt);
+        for (const auto& [index, assignment] : job->placed) attempts.insert(assignment.attempt);
+        for (const auto attempt : attempts) job_table_.break_gang(*job, attempt);
     }
 }
 
-dsmf::Machine Placing::view_of(const Machine& machine, TimePoint now) const {
+dsmf::Machine PlacementCycle::view_of(const Machine& machine, TimePoint now) const {
     const auto& type = catalog_[machine.type];
     dsmf::Machine view;
     view.free = type.size - machine.used();
@@ -66,14 +67,14 @@
     for (const auto& entry : machine.images) view.images.push_back({entry.id, Seconds{0}});
     for (const auto& [key, task] : machine.held) {
         const auto& job = *task.job;
-        const auto& placement = *task.placement;
-        if (placement.stage == Placement::Stage::bound) continue;
+        const auto& assignment = *task.assignment;
+        if (assignment.stage == Assignment::Stage::bound) continue;
         const auto left =
-            placement.stopping ? job.spec.save_time : estimates_.remaining(job, placement, now);
+            assignment.stopping ? job.spec.save_time : estimates_.remaining(job, assignment, now);
         view.releases.push_back({left, job.spec.need});
-        if (placement.state == TaskState::fetching && job.image != 0 && !view.image(job.image)) {
+        if (assignment.state == TaskState::fetching && job.image != 0 && !view.image(job.image)) {
             const Seconds whole{job.spec.image_gb / view.fetch_gb_per_s};
-            view.fetch_queue += std::max(whole - between(placement.since, now), Seconds{0.5});
+            view.fetch_queue += std::max(whole - between(assignment.since, now), Seconds{0.5});
             view.images.push_back({job.image, view.fetch_queue});
         }
     }
@@ -82,9 +83,9 @@
     return view;
 }
 
-void Placing::see_machines(Snapshot& snapshot, TimePoint now) {
-    for (auto& [name, machine] : fleet_.all()) {
-        if (!fleet_.usable(machine, now) || machine.closing) continue;
+void PlacementCycle::see_machines(Snapshot& snapshot, TimePoint now) {
+    for (auto& [name, machine] : inventory_.all()) {
+        if (!inventory_.usable(machine, now) || machine.closing) continue;
         auto view = view_of(machine, now);
         if (view.zone >= config_.zones.size()) continue;
         snapshot.machines.push_back(&machine);
@@ -94,8 +95,8 @@
 
 // Guard against stopping in turn: under its floor, work without need of a GPU went before urgent
 // GPU work, onto GPU machines, where that stopped it again. A floor is filled where it holds.
-dsmf::EligibleJob Placing::eligible(const Job& job, std::uint32_t tasks, bool floored,
-                                    const Snapshot& snapshot, TimePoint now) const {
+dsmf::EligibleJob PlacementCycle::eligible(const Job& job, std::uint32_t tasks, bool floored,
+                                           const Snapshot& snapshot, TimePoint now) const {
     dsmf::EligibleJob out;
     out.job = snapshot.jobs.size();
     out.tasks = tasks;
@@ -104,8 +105,8 @@
     out.spread = job.spec.spread;
     out.spread_of = job.spec.tasks;
     out.in_zone.assign(config_.zones.size(), 0);
-    for (const auto& [index, placement] : job.placed) {
-        const auto zone = config_.zone_index(fleet_.at(placement.machine).zone);
+    for (const auto& [index, assignment] : job.placed) {
+        const auto zone = config_.zone_index(inventory_.at(assignment.machine).zone);
         if (zone < out.in_zone.size()) ++out.in_zone[zone];
     }
     out.need = job.spec.need;
@@ -124,11 +125,11 @@
 
 // The next try goes elsewhere. Guard against no next try: a gang that failed on many machines had
 // too few left, and since there were machines enough none was rented for it.
-std::vector<std::size_t> Placing::barred(const Job& job, const Snapshot& snapshot) const {
+std::vector<std::size_t> PlacementCycle::barred(const Job& job, const Snapshot& snapshot) const {
     std::vector<std::size_t> out;
     std::size_t allowed_ones = 0;
     for (std::size_t m = 0; m < snapshot.machines.size(); ++m) {
-        if (!fleet_.allows(job.spec, *snapshot.machines[m])) continue;
+        if (!inventory_.allows(job.spec, *snapshot.machines[m])) continue;
         ++allowed_ones;
         if (snapshot.machines[m]->failed_jobs.contains(job.spec.id)) out.push_back(m);
     }
@@ -136,37 +137,37 @@
     return out;
 }
 
-void Placing::share_out(Snapshot& snapshot, const Standing& standing) const {
+void PlacementCycle::share_out(Snapshot& snapshot, const QuotaSnapshot& quota) const {
     std::map<int, double> used;
-    for (const auto& [serial, job] : pipelines_.all())
+    for (const auto& [serial, job] : job_table_.all())
         if (!job->over() && !job->placed.empty())
-            used[standing.rank(*job)] += standing.share(*job, job->placed.size());
+            used[quota.rank(*job)] += quota.share(*job, job->placed.size());
     std::vector<admission::Asking> asking;
     for (std::size_t p = 0; p < snapshot.pipelines.size(); ++p) {
         const auto& pipeline = snapshot.pipelines[p];
         const auto tasks = pipeline.eligible.front().tasks;
-        asking.push_back({pipeline.rank, standing.share(*snapshot.jobs[p], tasks)});
+        asking.push_back({pipeline.rank, quota.share(*snapshot.jobs[p], tasks)});
     }
     const auto factors = admission::stretch(asking, used);
     for (std::size_t p = 0; p < factors.size(); ++p) snapshot.pipelines[p].stretch = factors[p];
 }
 
-void Placing::see_jobs(Snapshot& snapshot, const Standing& standing, TimePoint now) const {
-    for (const auto& [serial, job] : pipelines_.all()) {
+void PlacementCycle::see_jobs(Snapshot& snapshot, const QuotaSnapshot& quota, TimePoint now) const {
+    for (const auto& [serial, job] : job_table_.all()) {
         if (job->over() || !job->durable || job->not_before > now) continue;
         const bool gang = job->spec.kind == Kind::gang;
         if (gang && !job->placed.empty()) continue;
         const auto idle = job->idle_count();
-        if (idle == 0 || fleet_.in_doubt(*job)) continue;
+        if (idle == 0 || inventory_.in_doubt(*job)) continue;
         if (!job->waits_since) job->waits_since = now;
         if (between(*job->waits_since, now) > owed_after) job->owed = true;
         const auto tried = job->tried_at_once();
         if (!gang && job->placed_open >= tried) continue;
-        const auto room = std::min(standing.room(*job), gang ? idle : tried - job->placed_open);
+        const auto room = std::min(quota.room(*job), gang ? idle : tried - job->placed_open);
         if (room == 0 || (gang && room < idle)) continue;
         dsmf::Pipeline pipeline;
-        pipeline.rank = standing.rank(*job);
-        const bool floored = standing.floored(*job);
+        pipeline.rank = quota.rank(*job);
+        const bool floored = quota.floored(*job);
         pipeline.reserves = floored;
         pipeline.eligible.push_back(eligible(*job, std::min(idle, room), floored, snapshot, now));
         snapshot.pipelines.push_back(std::move(pipeline));
@@ -174,49 +175,48 @@
     }
 }
 
-void Placing::bind(const dsmf::Result& result, const Snapshot& snapshot, Standing& standing,
-                   TimePoint now) {
+void PlacementCycle::bind(const dsmf::Result& result, const Snapshot& snapshot,
+                          QuotaSnapshot& quota, TimePoint now) {
     std::map<const Job*, std::uint64_t> gang_attempts;
     for (const auto& decision : result.binds) {
         auto& job = *snapshot.jobs[decision.job];
-        Placement placement;
+        Assignment assignment;
         // Limits are counted again bind by bind: pipelines of one team share what is left.
         if (job.spec.kind == Kind::gang) {
             const auto [it, first] = gang_attempts.try_emplace(&job, 0);
-            if (first && standing.room(job) >= job.spec.tasks)
-                it->second = pipelines_.next_attempt();
+            if (first && quota.room(job) >= job.spec.tasks) it->second = job_table_.next_attempt();
             if (it->second == 0) continue;
-            placement.attempt = it->second;
+            assignment.attempt = it->second;
         } else {
-            if (standing.room(job) < 1) continue;
-            placement.attempt = pipelines_.next_attempt();
+            if (quota.room(job) < 1) continue;
+            assignment.attempt = job_table_.next_attempt();
         }
-        placement.rank = snapshot.pipelines[decision.pipeline].rank;
-        placement.makespan = decision.makespan;
-        placement.rpm = decision.rpm;
-        job.floored |= standing.floored(job);
-        pipelines_.bind(job, *snapshot.machines[decision.machine], placement, now);
-        standing.take(job);
+        assignment.rank = snapshot.pipelines[decision.pipeline].rank;
+        assignment.makespan = decision.makespan;
+        assignment.rpm = decision.rpm;
+        job.floored |= quota.floored(job);
+        job_table_.bind(job, *snapshot.machines[decision.machine], assignment, now);
+        quota.take(job);
     }
 }
 
-void Placing::cycle(TimePoint now) {
+void PlacementCycle::cycle(TimePoint now) {
     unbind_all(now);
     break_partial_gangs();
-    auto standing = ledger_.standing(now);
+    auto quota = quota_accounting_.snapshot(now);
     Snapshot snapshot;
     see_machines(snapshot, now);
-    see_jobs(snapshot, standing, now);
+    see_jobs(snapshot, quota, now);
     if (snapshot.pipelines.empty()) return;
-    share_out(snapshot, standing);
+    share_out(snapshot, quota);
     const auto result = dsmf::place(snapshot.pipelines, snapshot.views, config_.cycle);
-    bind(result, snapshot, standing, now);
+    bind(result, snapshot, quota, now);
     std::vector<Job*> waiting;
     for (const auto p : result.order)
         if (snapshot.jobs[p]->idle_count() > 0) waiting.push_back(snapshot.jobs[p]);
     std::set<const Machine*> reserved;
     for (const auto m : result.reserved) reserved.insert(snapshot.machines[m]);
-    preemption_.make_room(waiting, reserved, standing, now);
+    preemption_.make_room(waiting, reserved, quota, now);
 }
 
 }  // namespace bendspindle::core
--- a/src/core/placing.hpp
+++ b/src/core/placing.hpp
@@ -15,16 +15,17 @@
 
 namespace bendspindle::core {
 
-class Placing {
+class PlacementCycle {
   public:
-    Placing(const Config& config, const Catalog& catalog, Fleet& fleet, Pipelines& pipelines,
-            const Estimates& estimates, const Ledger& ledger, Preemption& preemption)
+    PlacementCycle(const Config& config, const MachineCatalog& catalog, MachineInventory& inventory,
+                   JobTable& pipelines, const RuntimeEstimates& estimates,
+                   const QuotaAccounting& ledger, Preemption& preemption)
         : config_(config),
           catalog_(catalog),
-          fleet_(fleet),
-          pipelines_(pipelines),
+          inventory_(inventory),
+          job_table_(pipelines),
           estimates_(estimates),
-          ledger_(ledger),
+          quota_accounting_(ledger),
           preemption_(preemption) {}
 
     void cycle(TimePoint now);
@@ -41,22 +42,22 @@
     void break_partial_gangs();
     dsmf::Machine view_of(const Machine& machine, TimePoint now) const;
     void see_machines(Snapshot& snapshot, TimePoint now);
-    void see_jobs(Snapshot& snapshot, const Standing& standing, TimePoint now) const;
+    void see_jobs(Snapshot& snapshot, const QuotaSnapshot& quota, TimePoint now) const;
     dsmf::EligibleJob eligible(const Job& job, std::uint32_t tasks, bool floored,
                                const Snapshot& snapshot, TimePoint now) const;
     // Machines on which it has failed.
     std::vector<std::size_t> barred(const Job& job, const Snapshot& snapshot) const;
     // Stretches makespans where more is asked for than there is.
-    void share_out(Snapshot& snapshot, const Standing& standing) const;
-    void bind(const dsmf::Result& result, const Snapshot& snapshot, Standing& standing,
+    void share_out(Snapshot& snapshot, const QuotaSnapshot& quota) const;
+    void bind(const dsmf::Result& result, const Snapshot& snapshot, QuotaSnapshot& quota,
               TimePoint now);
 
     const Config& config_;
-    const Catalog& catalog_;
-    Fleet& fleet_;
-    Pipelines& pipelines_;
-    const Estimates& estimates_;
-    const Ledger& ledger_;
+    const MachineCatalog& catalog_;
+    MachineInventory& inventory_;
+    JobTable& job_table_;
+    const RuntimeEstimates& estimates_;
+    const QuotaAccounting& quota_accounting_;
     Preemption& preemption_;
 };
 
--- a/src/core/preemption.cpp
+++ b/src/core/preemption.cpp
@@ -15,27 +15,27 @@
 // What a step of priority weighs, in seconds of lost work.
 constexpr double priority_step_s = 10;
 
-bool may_be_stopped(const Placement& placement) {
-    return placement.stage != Placement::Stage::bound && !placement.stopping;
+bool may_be_stopped(const Assignment& assignment) {
+    return assignment.stage != Assignment::Stage::bound && !assignment.stopping;
 }
 
-Claim claim_of(const Job& job, const Standing& standing) {
-    const bool guaranteed = standing.guaranteed(job);
+Claim claim_of(const Job& job, const QuotaSnapshot& quota) {
+    const bool guaranteed = quota.guaranteed(job);
     return {job.spec.priority,
             guaranteed,
             guaranteed && job.owed,
-            standing.floored(job),
-            standing.class_shelter(job),
-            standing.team_shelter(job),
+            quota.floored(job),
+            quota.class_shelter(job),
+            quota.team_shelter(job),
             job.spec.team,
             job.spec.job_class};
 }
 
 // Guard: a floor holds on machines that suit the work. Arrays without need of a GPU held GPU
 // machines under their floor, and urgent GPU work waited for minutes.
-Claim claim_on(const Catalog& catalog, const Machine& machine, const Job& job,
-               const Standing& standing) {
-    auto claim = claim_of(job, standing);
+Claim claim_on(const MachineCatalog& catalog, const Machine& machine, const Job& job,
+               const QuotaSnapshot& quota) {
+    auto claim = claim_of(job, quota);
     if (!catalog.suits(job.spec, catalog[machine.type]))
         claim.floored = claim.class_shelter = claim.team_shelter = false;
     return claim;
@@ -58,19 +58,20 @@
     return owed || other.priority <= priority;
 }
 
-RoomSearch::RoomSearch(const Job& job, const Standing& standing, const Catalog& catalog,
-                       const Fleet& fleet, const std::vector<Machine*>& candidates, TimePoint now)
+RoomSearch::RoomSearch(const Job& job, const QuotaSnapshot& quota, const MachineCatalog& catalog,
+                       const MachineInventory& inventory, const std::vector<Machine*>& candidates,
+                       TimePoint now)
     : job_(job),
-      standing_(standing),
+      standing_(quota),
       catalog_(catalog),
-      fleet_(fleet),
+      inventory_(inventory),
       candidates_(candidates),
       now_(now),
-      claim_(claim_of(job, standing)) {}
+      claim_(claim_of(job, quota)) {}
 
-double RoomSearch::cost_of_stopping(const Job& other, const Placement& placement) const {
-    const auto ran =
-        placement.state == TaskState::running ? between(placement.running_from, now_) : Seconds{0};
+double RoomSearch::cost_of_stopping(const Job& other, const Assignment& assignment) const {
+    const auto ran = assignment.state == TaskState::running ? between(assignment.running_from, now_)
+                                                            : Seconds{0};
     double cost = other.spec.saves() ? other.spec.save_time.count() : ran.count();
     cost += priority_step_s * static_cast<int>(other.spec.priority);
     if (other.spec.kind == Kind::gang) cost *= other.spec.tasks;
@@ -88,9 +89,9 @@
 std::vector<Victim> RoomSearch::victims_on(const Machine& machine) const {
     std::vector<Victim> out;
     for (const auto& [key, task] : machine.held) {
-        if (!may_be_stopped(*task.placement) || spoken_for_.contains(key)) continue;
+        if (!may_be_stopped(*task.assignment) || spoken_for_.contains(key)) continue;
         if (!claim_.may_stop(claim_on(catalog_, machine, *task.job, standing_))) continue;
-        out.push_back({task.job, key.second, cost_of_stopping(*task.job, *task.placement)});
+        out.push_back({task.job, key.second, cost_of_stopping(*task.job, *task.assignment)});
     }
     std::sort(out.begin(), out.end(),
               [](const Victim& a, const Victim& b) { return a.cost < b.cost; });
@@ -132,7 +133,7 @@
     planned_.clear();
     std::vector<RoomPlan> heap;
     for (auto* machine : candidates_) {
-        if (!fleet_.allows(job_.spec, *machine) || (zone && machine->zone != *zone)) continue;
+        if (!inventory_.allows(job_.spec, *machine) || (zone && machine->zone != *zone)) continue;
         if (auto plan = plan_on(*machine)) heap.push_back(std::move(*plan));
     }
     std::make_heap(heap.begin(), heap.end(), dearer);
@@ -167,19 +168,19 @@
     return best;
 }
 
-std::vector<RoomPlan> Preemption::plans_for(const Job& job, const Standing& standing,
+std::vector<RoomPlan> Preemption::plans_for(const Job& job, const QuotaSnapshot& quota,
                                             const std::vector<Machine*>& candidates,
                                             TimePoint now) const {
     const bool gang = job.spec.kind == Kind::gang;
-    auto want = std::min(job.idle_count(), standing.room(job));
+    auto want = std::min(job.idle_count(), quota.room(job));
     if (gang && want < job.spec.tasks) return {};
     if (!gang) want = std::min(want, array_preempts_a_cycle);
-    RoomSearch search(job, standing, catalog_, fleet_, candidates, now);
+    RoomSearch search(job, quota, catalog_, inventory_, candidates, now);
     std::vector<RoomPlan> plans;
     if (!job.spec.one_zone)
         plans = search.plans(std::nullopt, want);
     else if (!job.placed.empty())
-        plans = search.plans(fleet_.at(job.placed.begin()->second.machine).zone, want);
+        plans = search.plans(inventory_.at(job.placed.begin()->second.machine).zone, want);
     else
         plans = search.plans_in_best_zone(config_.zones, want);
     // Without anybody to stop, the room there is has been refused by DSMF for its own reasons.
@@ -189,45 +190,45 @@
     return plans;
 }
 
-void Preemption::carry_out(Job& job, const std::vector<RoomPlan>& plans, Standing& standing,
+void Preemption::carry_out(Job& job, const std::vector<RoomPlan>& plans, QuotaSnapshot& quota,
                            TimePoint now) {
     const bool gang = job.spec.kind == Kind::gang;
-    auto attempt = pipelines_.next_attempt();
+    auto attempt = job_table_.next_attempt();
     for (const auto& plan : plans) {
         Seconds longest{0};
         for (const auto& victim : plan.victims)
             longest = std::max(
-                longest, Pipelines::stop_to_save(*victim.job, victim.job->placed.at(victim.index)));
-        if (!gang) attempt = pipelines_.next_attempt();
+                longest, JobTable::stop_to_save(*victim.job, victim.job->placed.at(victim.index)));
+        if (!gang) attempt = job_table_.next_attempt();
         const auto run = estimates_.expected_run(job);
-        Placement placement;
-        placement.attempt = attempt;
-        placement.rank = standing.rank(job);
-        placement.makespan = placement.rpm = run;
-        placement.held_until = later(now, longest + hold_beyond_save + config_.workers.report);
-        job.floored |= standing.floored(job);
-        pipelines_.bind(job, *plan.machine, placement, now);
-        standing.take(job);
+        Assignment assignment;
+        assignment.attempt = attempt;
+        assignment.rank = quota.rank(job);
+        assignment.makespan = assignment.rpm = run;
+        assignment.held_until = later(now, longest + hold_beyond_save + config_.workers.heartbeat);
+        job.floored |= quota.floored(job);
+        job_table_.bind(job, *plan.machine, assignment, now);
+        quota.take(job);
     }
 }
 
 void Preemption::make_room(const std::vector<Job*>& waiting,
-                           const std::set<const Machine*>& reserved, Standing& standing,
+                           const std::set<const Machine*>& reserved, QuotaSnapshot& quota,
                            TimePoint now) {
     // On most cycles nobody waiting may stop anything, and no machine needs to be looked at.
     std::set<Claim> stoppable;
     std::vector<Machine*> all;
     std::vector<Machine*> unreserved;
-    for (auto& [name, machine] : fleet_.all()) {
-        if (!fleet_.usable(machine, now) || machine.closing) continue;
+    for (auto& [name, machine] : inventory_.all()) {
+        if (!inventory_.usable(machine, now) || machine.closing) continue;
         all.push_back(&machine);
         if (!reserved.contains(&machine)) unreserved.push_back(&machine);
         for (const auto& [key, task] : machine.held)
-            if (may_be_stopped(*task.placement))
-                stoppable.insert(claim_on(catalog_, machine, *task.job, standing));
+            if (may_be_stopped(*task.assignment))
+                stoppable.insert(claim_on(catalog_, machine, *task.job, quota));
     }
     for (auto* job : waiting) {
-        const auto claim = claim_of(*job, standing);
+        const auto claim = claim_of(*job, quota);
         if (claim.priority == Priority::low && !claim.guaranteed) continue;
         // Guard against work that never ends: a mistaken job stopped others at each of its tries,
         // every half minute for as long as it was open.
@@ -238,9 +239,9 @@
         if (std::none_of(stoppable.begin(), stoppable.end(),
                          [&](const Claim& other) { return claim.may_stop(other); }))
             continue;
-        const auto& candidates = standing.floored(*job) ? all : unreserved;
-        const auto plans = plans_for(*job, standing, candidates, now);
-        if (!plans.empty()) carry_out(*job, plans, standing, now);
+        const auto& candidates = quota.floored(*job) ? all : unreserved;
+        const auto plans = plans_for(*job, quota, candidates, now);
+        if (!plans.empty()) carry_out(*job, plans, quota, now);
     }
 }
 
--- a/src/core/preemption.hpp
+++ b/src/core/preemption.hpp
@@ -50,8 +50,9 @@
 // One job's search for room. Plans that it has handed out are taken as carried out by the next.
 class RoomSearch {
   public:
-    RoomSearch(const Job& job, const Standing& standing, const Catalog& catalog, const Fleet& fleet,
-               const std::vector<Machine*>& candidates, TimePoint now);
+    RoomSearch(const Job& job, const QuotaSnapshot& quota, const MachineCatalog& catalog,
+               const MachineInventory& inventory, const std::vector<Machine*>& candidates,
+               TimePoint now);
     // The cheapest plans for up to `want` tasks, in one zone or anywhere. Forgets earlier ones.
     std::vector<RoomPlan> plans(const std::optional<std::string>& zone, std::uint32_t want);
     // Of a job whose tasks must be in one zone: where most of them find room, at the least cost.
@@ -61,14 +62,14 @@
   private:
     std::optional<RoomPlan> plan_on(Machine& machine) const;
     std::vector<Victim> victims_on(const Machine& machine) const;
-    double cost_of_stopping(const Job& other, const Placement& placement) const;
+    double cost_of_stopping(const Job& other, const Assignment& assignment) const;
     double cost_of_fetching(const Machine& machine) const;
     void take(const RoomPlan& plan);
 
     const Job& job_;
-    const Standing& standing_;
-    const Catalog& catalog_;
-    const Fleet& fleet_;
+    const QuotaSnapshot& standing_;
+    const MachineCatalog& catalog_;
+    const MachineInventory& inventory_;
     const std::vector<Machine*>& candidates_;
     const TimePoint now_;
     const Claim claim_;
@@ -78,29 +79,30 @@
 
 class Preemption {
   public:
-    Preemption(const Config& config, const Catalog& catalog, Fleet& fleet, Pipelines& pipelines,
-               const Estimates& estimates)
+    Preemption(const Config& config, const MachineCatalog& catalog, MachineInventory& inventory,
+               JobTable& pipelines, const RuntimeEstimates& estimates)
         : config_(config),
           catalog_(catalog),
-          fleet_(fleet),
-          pipelines_(pipelines),
+          inventory_(inventory),
+          job_table_(pipelines),
           estimates_(estimates) {}
 
     // `waiting` in the order of DSMF: what it could not bind. `reserved`: machines that are kept
     // for gangs under a floor; only work under a floor makes room there.
     void make_room(const std::vector<Job*>& waiting, const std::set<const Machine*>& reserved,
-                   Standing& standing, TimePoint now);
+                   QuotaSnapshot& quota, TimePoint now);
 
   private:
-    std::vector<RoomPlan> plans_for(const Job& job, const Standing& standing,
+    std::vector<RoomPlan> plans_for(const Job& job, const QuotaSnapshot& quota,
                                     const std::vector<Machine*>& candidates, TimePoint now) const;
-    void carry_out(Job& job, const std::vector<RoomPlan>& plans, Standing& standing, TimePoint now);
+    void carry_out(Job& job, const std::vector<RoomPlan>& plans, QuotaSnapshot& quota,
+                   TimePoint now);
 
     const Config& config_;
-    const Catalog& catalog_;
-    Fleet& fleet_;
-    Pipelines& pipelines_;
-    const Estimates& estimates_;
+    const MachineCatalog& catalog_;
+    MachineInventory& inventory_;
+    JobTable& job_table_;
+    const RuntimeEstimates& estimates_;
 };
 
 }  // namespace bendspindle::core
--- a/src/core/reconciliation.hpp
+++ b/src/core/reconciliation.hpp
@@ -23,44 +23,46 @@
 class Reconciliation {
   public:
     // How a task list came: as a report, or as the answer to a direct call between two reports.
-    enum class Source : std::uint8_t { report, direct_answer };
+    enum class Source : std::uint8_t { heartbeat, direct_answer };
 
-    Reconciliation(const Catalog& catalog, Fleet& fleet, Pipelines& pipelines, Estimates& estimates,
-                   Failures& failures, StartStories& starts, DispatchCounts& counts)
+    Reconciliation(const MachineCatalog& catalog, MachineInventory& inventory, JobTable& pipelines,
+                   RuntimeEstimates& estimates, FailureAttribution& failures,
+                   StartLatencyTracker& starts, AgentCounters& counts)
         : catalog_(catalog),
-          fleet_(fleet),
-          pipelines_(pipelines),
+          inventory_(inventory),
+          job_table_(pipelines),
           estimates_(estimates),
-          failures_(failures),
+          failure_attribution_(failures),
           starts_(starts),
           counts_(counts) {}
 
     // The machine is confirmed and the report newer than any before. Adds the orders that follow
     // from it: tasks to stop or forget, and starts to repeat.
-    void reconcile(Machine& machine, const Report& report, Source source, TimePoint now,
-                   std::vector<Order>& orders);
+    void reconcile(Machine& machine, const Heartbeat& heartbeat, Source source, TimePoint now,
+                   std::vector<TaskCommand>& commands);
 
   private:
     using Seen = std::set<HeldKey>;
 
-    bool nothing_new(const Machine& machine, const Report& report) const;
+    bool nothing_new(const Machine& machine, const Heartbeat& heartbeat) const;
     void take_over_task(Machine& machine, const ReportedTask& task, TimePoint now, Seen& seen,
-                        std::vector<Order>& orders);
+                        std::vector<TaskCommand>& commands);
     void take_over_exit(Machine& machine, Job& job, const ReportedTask& task, TimePoint now,
-                        std::vector<Order>& orders);
+                        std::vector<TaskCommand>& commands);
     void adopt(Machine& machine, Job& job, const ReportedTask& task, TimePoint now);
-    void settle_absent(Machine& machine, const std::vector<HeldKey>& held, const Report& report,
-                       Source source, const Seen& seen, TimePoint now, std::vector<Order>& orders);
+    void settle_absent(Machine& machine, const std::vector<HeldKey>& held,
+                       const Heartbeat& heartbeat, Source source, const Seen& seen, TimePoint now,
+                       std::vector<TaskCommand>& commands);
     void count_strays(Machine& machine, TimePoint now) const;
     void task_exited(Machine& machine, Job& job, const ReportedTask& task, TimePoint now);
 
-    const Catalog& catalog_;
-    Fleet& fleet_;
-    Pipelines& pipelines_;
-    Estimates& estimates_;
-    Failures& failures_;
-    StartStories& starts_;
-    DispatchCounts& counts_;
+    const MachineCatalog& catalog_;
+    MachineInventory& inventory_;
+    JobTable& job_table_;
+    RuntimeEstimates& estimates_;
+    FailureAttribution& failure_attribution_;
+    StartLatencyTracker& starts_;
+    AgentCounters& counts_;
 };
 
 }  // namespace bendspindle::core
--- a/src/core/renting.cpp
+++ b/src/core/renting.cpp
@@ -28,7 +28,7 @@
         std::uint32_t to_rent = 0;
     };
 
-    explicit Packing(const Catalog& catalog) : catalog_(catalog) {}
+    explicit Packing(const MachineCatalog& catalog) : catalog_(catalog) {}
 
     void add_pool(PoolKey key, std::size_t type, bool refused) {
         if (!index_.try_emplace(key, pools_.size()).second) return;
@@ -83,7 +83,7 @@
     void onto_rented(Load& load);
     std::optional<std::size_t> cheapest(const Load& load) const;
 
-    const Catalog& catalog_;
+    const MachineCatalog& catalog_;
     std::vector<Pool> pools_;
     std::map<PoolKey, std::size_t> index_;
     std::vector<Bin> bins_;
@@ -178,7 +178,7 @@
 
 // How many of a job's tasks should run at once: all of a gang; of an array, as many as finish it
 // by its deadline, or within about a boot where it has none.
-std::uint32_t Renting::wanted(const Job& job, TimePoint now) const {
+std::uint32_t Autoscaler::wanted(const Job& job, TimePoint now) const {
     // Machines are not paid for a job that fails everywhere while it waits for its next try.
     if (job.suspect() && job.not_before > now) return 0;
     const auto left = std::min(job.spec.tasks - job.finished, job.tried_at_once());
@@ -191,21 +191,21 @@
     return static_cast<std::uint32_t>(std::ceil(left / rounds));
 }
 
-Seconds Renting::patience(const Job& job, TimePoint now) const {
+Seconds Autoscaler::patience(const Job& job, TimePoint now) const {
     const auto aim = config_.objectives.start_within.find(job.spec.job_class);
     if (aim == config_.objectives.start_within.end()) return Seconds{0};
     return aim->second * slack_used - between(job.accepted_at, now);
 }
 
-std::vector<Renting::Ending> Renting::endings(TimePoint now) const {
+std::vector<Autoscaler::Ending> Autoscaler::endings(TimePoint now) const {
     std::vector<Ending> out;
-    for (const auto& [serial, job] : pipelines_.all()) {
+    for (const auto& [serial, job] : job_table_.all()) {
         if (job->spec.kind != Kind::gang) continue;
-        for (const auto& [index, placement] : job->placed) {
-            if (placement.stage != Placement::Stage::on) continue;
-            const auto& machine = fleet_.at(placement.machine);
-            if (fleet_.usable(machine, now))
-                out.push_back({estimates_.remaining(*job, placement, now), job.get(), &machine});
+        for (const auto& [index, assignment] : job->placed) {
+            if (assignment.stage != Assignment::Stage::on) continue;
+            const auto& machine = inventory_.at(assignment.machine);
+            if (inventory_.usable(machine, now))
+                out.push_back({estimates_.remaining(*job, assignment, now), job.get(), &machine});
         }
     }
     std::sort(out.begin(), out.end(), [](const Ending& a, const Ending& b) { return a.in < b.in; });
@@ -213,11 +213,12 @@
 }
 
 // A machine that frees up before the job's start is due serves it as well as a new one.
-bool Renting::waits_for_ending(const Job& job, std::vector<Ending>& endings, TimePoint now) const {
+bool Autoscaler::waits_for_ending(const Job& job, std::vector<Ending>& endings,
+                                  TimePoint now) const {
     if (job.spec.kind != Kind::gang || job.spec.tasks != 1 || !job.placed.empty()) return false;
     const auto slot = std::find_if(endings.begin(), endings.end(), [&](const Ending& e) {
         return e.in < patience(job, now) && e.job->spec.need.holds(job.spec.need) &&
-               fleet_.allows(job.spec, *e.machine);
+               inventory_.allows(job.spec, *e.machine);
     });
     if (slot == endings.end()) return false;
     slot->in += estimates_.expected_run(job);
@@ -226,23 +227,23 @@
     return true;
 }
 
-std::vector<Renting::Want> Renting::wants(TimePoint now) {
+std::vector<Autoscaler::Want> Autoscaler::wants(TimePoint now) {
     std::vector<Want> out;
     std::map<std::string, ClassDemand> demand;
     std::map<std::string, std::uint32_t> asked;
-    const auto standing = ledger_.standing(now);
+    const auto quota = quota_accounting_.snapshot(now);
     auto ending = endings(now);
-    for (const auto& [serial, job] : pipelines_.all()) {
+    for (const auto& [serial, job] : job_table_.all()) {
         if (job->over() || !job->durable) continue;
         const auto placed = static_cast<std::uint32_t>(job->placed.size());
-        const auto n = std::min(wanted(*job, now), standing.room(*job) + placed);
+        const auto n = std::min(wanted(*job, now), quota.room(*job) + placed);
         demand_.note_typical(job->spec);
         auto& wanted_now = demand[job->spec.job_class];
         wanted_now.wanted += n;
         wanted_now.waiting += n - std::min(n, placed);
         asked[job->spec.job_class] += n;
         if (n == 0 || waits_for_ending(*job, ending, now)) continue;
-        out.push_back({&job->spec, n, false, standing.rank(*job)});
+        out.push_back({&job->spec, n, false, quota.rank(*job)});
     }
     demand_.learn(demand, now);
     for (const auto& [name, target] : demand_.targets(demand, now))
@@ -259,7 +260,7 @@
     return out;
 }
 
-Packing Renting::pack(const std::vector<Want>& wants, TimePoint now) const {
+Packing Autoscaler::pack(const std::vector<Want>& wants, TimePoint now) const {
     Packing packing(catalog_);
     for (std::size_t t = 0; t < catalog_.types().size(); ++t)
         for (const auto& zone : catalog_[t].zones)
@@ -268,23 +269,24 @@
                 const auto until = refused_until_.find(key);
                 packing.add_pool(key, t, until != refused_until_.end() && until->second > now);
             }
-    for (const auto& [name, machine] : fleet_.all()) {
+    for (const auto& [name, machine] : inventory_.all()) {
         if (machine.draining() || machine.deaf_since || !machine.type_known) continue;
         // One that nobody has rented shows itself as real within a report or two, or never does.
-        if (!Fleet::certain(machine) &&
-            between(machine.first_seen, now) > config_.workers.report * 2)
+        if (!MachineInventory::certain(machine) &&
+            between(machine.first_seen, now) > config_.workers.heartbeat * 2)
+            continue;
+        if (machine.reported && between(machine.last_heartbeat, now) > config_.workers.lease)
             continue;
-        if (machine.reported && between(machine.last_report, now) > config_.workers.lease) continue;
         packing.add(machine);
     }
     for (const auto& want : wants) packing.pack(*want.spec, want.tasks, want.expected);
     return packing;
 }
 
-std::vector<std::string> Renting::returns(const Packing& packing, TimePoint now) {
+std::vector<std::string> Autoscaler::returns(const Packing& packing, TimePoint now) {
     std::vector<std::string> out;
     const auto wanted = packing.used();
-    for (auto& [name, machine] : fleet_.all()) {
+    for (auto& [name, machine] : inventory_.all()) {
         if (machine.deaf_since) {
             // No capacity, but not unwanted either: `Fleet` gives it up, and not many at once.
             if (machine.releasing && out.size() < most_a_release) out.push_back(name);
@@ -308,33 +310,33 @@
     return out;
 }
 
-RentPlan Renting::plan(TimePoint now) {
-    RentPlan out;
+ScalingPlan Autoscaler::plan(TimePoint now) {
+    ScalingPlan out;
     if (!catalog_.known()) return out;
-    fleet_.keep_time(now);
+    inventory_.keep_time(now);
     const auto packing = pack(wants(now), now);
     for (const auto& pool : packing.pools()) {
         if (pool.to_rent == 0) continue;
-        RentRequest request;
-        // The epoch makes the name unique: it is never used by another steward.
-        request.request = "r-" + std::to_string(epoch_) + "-" + std::to_string(++next_request_);
+        ScaleOutRequest request;
+        // The term makes the name unique: it is never used by another steward.
+        request.request = "r-" + std::to_string(term_) + "-" + std::to_string(++next_request_);
         request.type = pool.key.type;
         request.zone = pool.key.zone;
         request.spot = pool.key.spot;
         request.count = std::min(pool.to_rent, most_a_request);
-        out.rent.push_back(std::move(request));
+        out.scale_out.push_back(std::move(request));
     }
     out.release = returns(packing, now);
     for (const auto& name : out.release)
-        if (fleet_.overdue(fleet_.at(name), now)) out.overdue.push_back(name);
+        if (inventory_.overdue(inventory_.at(name), now)) out.overdue.push_back(name);
     return out;
 }
 
-void Renting::rented(const RentRequest& request, const std::vector<std::string>& names,
-                     TimePoint now) {
+void Autoscaler::scaled_out(const ScaleOutRequest& request, const std::vector<std::string>& names,
+                            TimePoint now) {
     if (names.size() < request.count)
         refused_until_[{request.type, request.zone, request.spot}] = later(now, refused_pause);
-    fleet_.rented(request, names, now);
+    inventory_.scaled_out(request, names, now);
 }
 
 }  // namespace bendspindle::core
--- a/src/core/renting.hpp
+++ b/src/core/renting.hpp
@@ -19,8 +19,8 @@
 
 namespace bendspindle::core {
 
-struct RentPlan {
-    std::vector<RentRequest> rent;
+struct ScalingPlan {
+    std::vector<ScaleOutRequest> scale_out;
     std::vector<std::string> release;
     std::vector<std::string>
         overdue;  // of those: what must be gone even if another controller acts
@@ -36,22 +36,24 @@
 
 class Packing;
 
-class Renting {
+class Autoscaler {
   public:
-    Renting(const Config& config, const Catalog& catalog, Fleet& fleet, const Pipelines& pipelines,
-            const Estimates& estimates, const Ledger& ledger, std::uint64_t epoch)
+    Autoscaler(const Config& config, const MachineCatalog& catalog, MachineInventory& inventory,
+               const JobTable& pipelines, const RuntimeEstimates& estimates,
+               const QuotaAccounting& ledger, std::uint64_t term)
         : config_(config),
           catalog_(catalog),
-          fleet_(fleet),
-          pipelines_(pipelines),
+          inventory_(inventory),
+          job_table_(pipelines),
           estimates_(estimates),
-          ledger_(ledger),
+          quota_accounting_(ledger),
           demand_(config, catalog, estimates),
-          epoch_(epoch) {}
+          term_(term) {}
 
     void arrived(const JobSpec& spec, TimePoint now) { demand_.arrived(spec, now); }
-    RentPlan plan(TimePoint now);
-    void rented(const RentRequest& request, const std::vector<std::string>& names, TimePoint now);
+    ScalingPlan plan(TimePoint now);
+    void scaled_out(const ScaleOutRequest& request, const std::vector<std::string>& names,
+                    TimePoint now);
 
   private:
     // Tasks to find room for: of a job, or of a class that was learned to ask for them.
@@ -77,13 +79,13 @@
     std::vector<std::string> returns(const Packing& packing, TimePoint now);
 
     const Config& config_;
-    const Catalog& catalog_;
-    Fleet& fleet_;
-    const Pipelines& pipelines_;
-    const Estimates& estimates_;
-    const Ledger& ledger_;
-    Demand demand_;
-    const std::uint64_t epoch_;
+    const MachineCatalog& catalog_;
+    MachineInventory& inventory_;
+    const JobTable& job_table_;
+    const RuntimeEstimates& estimates_;
+    const QuotaAccounting& quota_accounting_;
+    DemandForecast demand_;
+    const std::uint64_t term_;
     std::uint64_t next_request_ = 0;
     std::map<PoolKey, TimePoint> refused_until_;
 };
--- a/src/core/start_stories.hpp
+++ b/src/core/start_stories.hpp
@@ -12,29 +12,29 @@
 
 // What the time from a job's acceptance here to its start went into, for logs and measurements: of
 // a gang the latest of its tasks, of an array the first.
-struct StartStory {
+struct StartLatencyBreakdown {
     std::string job;
     std::string job_class;
     std::string team;
     std::uint32_t tasks = 0;
     bool stopped_others = false;
-    Seconds record{0};  // until the job was durable
-    Seconds room{0};    // until room was found, or others were told to make it
-    Seconds saves{0};   // until those had saved and gone
-    Seconds report{0};  // until the machine told of the task
-    Seconds image{0};   // until it ran: its image, and the others of its gang
-    Seconds total() const { return record + room + saves + report + image; }
+    Seconds record{0};     // until the job was durable
+    Seconds room{0};       // until room was found, or others were told to make it
+    Seconds saves{0};      // until those had saved and gone
+    Seconds heartbeat{0};  // until the machine told of the task
+    Seconds image{0};      // until it ran: its image, and the others of its gang
+    Seconds total() const { return record + room + saves + heartbeat + image; }
 };
 
-class StartStories {
+class StartLatencyTracker {
   public:
     // A task of the job was seen running for the first time.
     void note(Job& job, TimePoint now);
     // Jobs that have started since the last call.
-    std::vector<StartStory> take() { return std::exchange(stories_, {}); }
+    std::vector<StartLatencyBreakdown> take() { return std::exchange(breakdowns_, {}); }
 
   private:
-    std::vector<StartStory> stories_;
+    std::vector<StartLatencyBreakdown> breakdowns_;
 };
 
 }  // namespace bendspindle::core
--- a/src/core/types.hpp
+++ b/src/core/types.hpp
@@ -104,13 +104,13 @@
 };
 
 // What users expect of a class: the settings' aims, as far as planning uses them.
-struct Objectives {
+struct ServiceLevelObjectives {
     std::map<std::string, Seconds> start_within;  // by class
     std::optional<Seconds> guaranteed_start;      // work within a team's guarantee
 };
 
-struct WorkerTimes {
-    Seconds report{3};
+struct AgentTimings {
+    Seconds heartbeat{3};
     Seconds lease{20};
     Seconds gang_wait{50};
     Seconds gang_peer{5};
@@ -142,27 +142,27 @@
     bool operator==(const ReportedTask&) const = default;
 };
 
-struct Report {
+struct Heartbeat {
     std::string machine;
     std::string address;
     std::string type;
     std::string zone;
     bool spot = false;
-    std::uint64_t session = 0;
-    std::uint64_t seq = 0;
-    std::uint64_t token = 0;
+    std::uint64_t agent_epoch = 0;
+    std::uint64_t sequence = 0;
+    std::uint64_t fencing_token = 0;
     std::optional<Seconds> notice;
     std::vector<ReportedTask> tasks;
 };
 
-struct Order {
-    enum class Verb : std::uint8_t { start, stop, forget };
+struct TaskCommand {
+    enum class Verb : std::uint8_t { start, stop, acknowledge };
     Verb verb = Verb::start;
     std::string job;
     std::uint32_t index = 0;
     std::uint64_t attempt = 0;
     Seconds grace{0};
-    bool operator==(const Order&) const = default;
+    bool operator==(const TaskCommand&) const = default;
 };
 
 enum class MachineStage : std::uint8_t { booting, running, failed };
@@ -177,7 +177,7 @@
     Seconds age{0};
 };
 
-struct RentRequest {
+struct ScaleOutRequest {
     std::string request;
     std::string type;
     std::string zone;
--- a/src/io/peer_link.cpp
+++ b/src/io/peer_link.cpp
@@ -124,7 +124,7 @@
             idle_.pop_back();
         }
     }
-    // A kept connection may have died unseen with the sibling; what shows that at once is
+    // A kept connection may have died unseen with the peer; what shows that at once is
     // dropped here and a new one made.
     if (socket && wait_for(socket.fd(), POLLIN, milliseconds{0})) socket = Socket{};
     if (!socket) socket = connect_to(endpoint_);
@@ -167,7 +167,7 @@
     }
 }
 
-// Guard against a log full of one line: such a sibling comes back with every request.
+// Guard against a log full of one line: such a peer comes back with every request.
 void PeerServer::complain_of_version() {
     constexpr std::chrono::minutes again{10};
     const auto now = std::chrono::steady_clock::now();
--- a/src/io/peer_link.hpp
+++ b/src/io/peer_link.hpp
@@ -30,13 +30,13 @@
     int fd_;
 };
 
-// Calls to one sibling. Each call borrows a connection of its own, so that a call that hangs
+// Calls to one peer. Each call borrows a connection of its own, so that a call that hangs
 // delays no other.
 class PeerClient {
   public:
     PeerClient(Endpoint endpoint, std::chrono::milliseconds timeout)
         : endpoint_(std::move(endpoint)), timeout_(timeout) {}
-    // nullopt: no answer; the sibling may have acted all the same.
+    // nullopt: no answer; the peer may have acted all the same.
     std::optional<wire::peer::Answer> call(const wire::peer::Request& request);
 
   private:
@@ -48,7 +48,7 @@
     std::vector<Socket> idle_;
 };
 
-// Accepts siblings' connections and answers their requests, a thread a connection.
+// Accepts peers' connections and answers their requests, a thread a connection.
 class PeerServer {
   public:
     using Handler = std::function<wire::peer::Answer(const wire::peer::Request&)>;
--- a/src/wire/cloud.cpp
+++ b/src/wire/cloud.cpp
@@ -56,7 +56,7 @@
     });
 }
 
-std::string rent_body(const core::RentRequest& request) {
+std::string rent_body(const core::ScaleOutRequest& request) {
     return to_cbor(Value{{"hire", request.request},
                          {"build", request.type},
                          {"hall", request.zone},
--- a/src/wire/cloud.hpp
+++ b/src/wire/cloud.hpp
@@ -18,7 +18,7 @@
 }  // namespace path
 
 std::optional<std::vector<core::MachineType>> parse_catalog(std::string_view body);
-std::string rent_body(const core::RentRequest& request);
+std::string rent_body(const core::ScaleOutRequest& request);
 // The names of the machines that were rented.
 std::optional<std::vector<std::string>> parse_rented(std::string_view body);
 std::string release_body(const std::vector<std::string>& names);
--- a/src/wire/fields.hpp
+++ b/src/wire/fields.hpp
@@ -70,8 +70,8 @@
 Value parse_map(std::string_view body);
 
 // What `read` returns, or nullopt if it meets a malformed field.
-template <typename Read>
-auto if_well_formed(Read&& read) -> std::optional<decltype(read())> {
+template <typename ReadResult>
+auto if_well_formed(ReadResult&& read) -> std::optional<decltype(read())> {
     try {
         return read();
     } catch (const Malformed&) {
@@ -80,8 +80,8 @@
 }
 
 // What `read` makes of the fields of the body's map, or nullopt if anything is malformed.
-template <typename Read>
-auto parse_fields(std::string_view body, Read&& read) {
+template <typename ReadResult>
+auto parse_fields(std::string_view body, ReadResult&& read) {
     return if_well_formed([&] {
         const auto map = parse_map(body);
         return read(Fields(map));
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -66,7 +66,7 @@
 
 std::string pack(const Request& r) {
     std::string payload;
-    put<std::uint64_t>(payload, r.epoch);
+    put<std::uint64_t>(payload, r.term);
     put<std::uint16_t>(payload, static_cast<std::uint16_t>(r.id.size()));
     payload += r.id;
     put<std::uint32_t>(payload, static_cast<std::uint32_t>(r.body.size()));
@@ -78,13 +78,13 @@
     std::string payload;
     put<std::uint16_t>(payload, a.status);
     put<std::uint16_t>(payload, a.retry_after);
-    put<std::uint64_t>(payload, a.epoch);
+    put<std::uint64_t>(payload, a.term);
     put<std::uint32_t>(payload, static_cast<std::uint32_t>(a.body.size()));
     payload += a.body;
     return frame(answer_kind, payload);
 }
 
-std::string pack(const Word& w) {
+std::string pack(const CancellationSnapshot& w) {
     std::string list;
     std::uint32_t number = 0;
     bool complete = w.complete;
@@ -129,7 +129,7 @@
     Reader in(payload);
     Request out;
     out.op = static_cast<Op>(kind);
-    out.epoch = in.get<std::uint64_t>();
+    out.term = in.get<std::uint64_t>();
     out.id = in.text(in.get<std::uint16_t>());
     out.body = in.text(in.get<std::uint32_t>());
     if (!in.finished()) return std::nullopt;
@@ -142,15 +142,15 @@
     Answer out;
     out.status = in.get<std::uint16_t>();
     out.retry_after = in.get<std::uint16_t>();
-    out.epoch = in.get<std::uint64_t>();
+    out.term = in.get<std::uint64_t>();
     out.body = in.text(in.get<std::uint32_t>());
     if (!in.finished()) return std::nullopt;
     return out;
 }
 
-std::optional<Word> parse_word(std::string_view body) {
+std::optional<CancellationSnapshot> parse_cancellation_snapshot(std::string_view body) {
     Reader in(body);
-    Word out;
+    CancellationSnapshot out;
     out.age = std::chrono::milliseconds(in.get<std::uint32_t>());
     out.memory = std::chrono::milliseconds(in.get<std::uint32_t>());
     const auto complete = in.get<std::uint8_t>();
--- a/src/wire/peer.hpp
+++ b/src/wire/peer.hpp
@@ -18,9 +18,9 @@
 enum class Op : std::uint8_t {
     status = 2,
     cancel = 3,
-    report = 4,
-    view = 5,
-    word = 6,
+    heartbeat = 4,
+    leader_announcement = 5,
+    cancellation_snapshot = 6,
     cancelled = 7
 };
 
@@ -36,34 +36,34 @@
 };
 
 // A user's or worker's request handed on to the controller that acts, or (view) the word of that
-// controller, named by the id, that it acts under this epoch, or (cancelled) that it is about to
+// controller, named by the id, that it acts under this term, or (cancelled) that it is about to
 // confirm the cancellation of the job named by the id. `word` asks for a `Word`.
-// u64 sender's epoch, u16 id length, id, u32 body length, body.
+// u64 sender's term, u16 id length, id, u32 body length, body.
 struct Request {
     Op op = Op::status;
-    std::uint64_t epoch = 0;
+    std::uint64_t term = 0;
     std::string id;
     std::string body;
 };
 
-// u16 status, u16 retry-after seconds, u64 epoch, u32 body length, body.
+// u16 status, u16 retry-after seconds, u64 term, u32 body length, body.
 struct Answer {
     std::uint16_t status = 503;
     std::uint16_t retry_after = 0;
-    std::uint64_t epoch = 0;
+    std::uint64_t term = 0;
     std::string body;
 };
 
 // In the answer to `word`: the jobs that the sender knows to be cancelled, of late. 200: it acts;
 // 421: it does not, and knows the view; 503, without a word: neither.
 // u32 age in ms, u32 memory in ms, u8 complete, u32 number, and so many of: u16 length, id.
-struct Word {
+struct CancellationSnapshot {
     // Of who acts: so long ago nobody else can have confirmed anything.
     std::chrono::milliseconds age{0};
     // For so long it has known the view and taken what it was told.
     std::chrono::milliseconds memory{0};
     // Of who acts: all confirmed cancellations that may matter are among these, those of former
-    // epochs too. Of others: nothing is left out that they know.
+    // terms too. Of others: nothing is left out that they know.
     bool complete = false;
     std::vector<std::string> cancelled;
 };
@@ -71,10 +71,10 @@
 std::string pack(const Request& request);
 std::string pack(const Answer& answer);
 // Leaves out what would not fit into a frame, and is not complete then.
-std::string pack(const Word& word);
+std::string pack(const CancellationSnapshot& word);
 ParsedHeader parse_header(std::string_view bytes);
 std::optional<Request> parse_request(std::uint8_t kind, std::string_view payload);
 std::optional<Answer> parse_answer(std::uint8_t kind, std::string_view payload);
-std::optional<Word> parse_word(std::string_view body);
+std::optional<CancellationSnapshot> parse_cancellation_snapshot(std::string_view body);
 
 }  // namespace bendspindle::wire::peer
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr std::size_t most_ranges = 1500;
-constexpr std::uint64_t most_returns = 1000;
+constexpr std::uint64_t max_consecutive_restarts = 1000;
 
-constexpr NameTable<core::Final, 2> final_names{
-    {{"cancelled", core::Final::cancelled}, {"done", core::Final::done}}};
+constexpr NameTable<core::TerminalState, 2> terminal_state_names{
+    {{"cancelled", core::TerminalState::cancelled}, {"done", core::TerminalState::done}}};
 
 // One hexadecimal digit for four tasks, the first of them in its lowest bit.
 std::string bitmap_of(const std::vector<core::Range>& ranges, std::uint32_t tasks) {
@@ -92,12 +92,12 @@
     });
 }
 
-Value final_record(const core::JobRecord& record) {
-    return Value{{"final", name_of(final_names, record.final)}};
+Value terminal_record(const core::JobRecord& record) {
+    return Value{{"final", name_of(terminal_state_names, record.terminal_state)}};
 }
 
-std::optional<core::Final> parse_final(const Value& value) {
-    return if_well_formed([&] { return Fields(value).named(final_names, "final"); });
+std::optional<core::TerminalState> parse_terminal_record(const Value& value) {
+    return if_well_formed([&] { return Fields(value).named(terminal_state_names, "final"); });
 }
 
 Value machine_record(const core::ListedMachine& machine) {
@@ -122,17 +122,19 @@
     });
 }
 
-Value view_record(const ViewRecord& view) {
-    return Value{{"epoch", view.epoch}, {"steward", view.steward}, {"returns", view.returns}};
+Value leadership_record(const LeadershipRecord& view) {
+    return Value{
+        {"epoch", view.term}, {"steward", view.leader}, {"returns", view.consecutive_restarts}};
 }
 
-std::optional<ViewRecord> parse_view(const Value& value) {
+std::optional<LeadershipRecord> parse_leadership_record(const Value& value) {
     return if_well_formed([&] {
         const Fields fields(value);
         // Views of older programs do not count returns.
         const auto returns = fields.has("returns") ? fields.count("returns") : 0;
-        return ViewRecord{fields.count("epoch"), fields.text("steward"),
-                          static_cast<std::uint32_t>(std::min(returns, most_returns))};
+        return LeadershipRecord{
+            fields.count("epoch"), fields.text("steward"),
+            static_cast<std::uint32_t>(std::min(returns, max_consecutive_restarts))};
     });
 }
 
--- a/src/wire/records.hpp
+++ b/src/wire/records.hpp
@@ -16,20 +16,20 @@
 std::optional<core::JobRecord> parse_job_record(const Value& value);
 
 // What stays of a job that is over.
-Value final_record(const core::JobRecord& record);
-std::optional<core::Final> parse_final(const Value& value);
+Value terminal_record(const core::JobRecord& record);
+std::optional<core::TerminalState> parse_terminal_record(const Value& value);
 
 Value machine_record(const core::ListedMachine& machine);
 std::optional<core::ListedMachine> parse_machine_record(const std::string& name,
                                                         const Value& value);
 
-struct ViewRecord {
-    std::uint64_t epoch = 0;
-    std::string steward;
-    // Lives of this steward that took the role one after the other without getting anywhere.
-    std::uint32_t returns = 0;
+struct LeadershipRecord {
+    std::uint64_t term = 0;
+    std::string leader;
+    // Lives of this leader that took the role one after the other without getting anywhere.
+    std::uint32_t consecutive_restarts = 0;
 };
-Value view_record(const ViewRecord& view);
-std::optional<ViewRecord> parse_view(const Value& value);
+Value leadership_record(const LeadershipRecord& view);
+std::optional<LeadershipRecord> parse_leadership_record(const Value& value);
 
 }  // namespace bendspindle::wire
--- a/src/wire/state_service.cpp
+++ b/src/wire/state_service.cpp
@@ -27,7 +27,7 @@
     return "/leases/" + std::to_string(lease);
 }
 
-std::string touch(std::uint64_t id) {
+std::string keep_alive(std::uint64_t id) {
     return lease(id) + "/touch";
 }
 
@@ -71,11 +71,11 @@
     });
 }
 
-std::string txn_body(const std::vector<Condition>& conditions,
-                     const std::vector<Operation>& operations) {
+std::string compare_and_swap_body(const std::vector<Condition>& conditions,
+                                  const std::vector<Operation>& operations) {
     Value when = Value::array();
     for (const auto& condition : conditions)
-        when.push_back({{"path", condition.key}, {"stamp", condition.stamp}});
+        when.push_back({{"path", condition.key}, {"stamp", condition.mod_revision}});
     Value apply = Value::array();
     for (const auto& operation : operations) {
         if (!operation.put) {
@@ -89,9 +89,9 @@
     return to_cbor(Value{{"if", std::move(when)}, {"apply", std::move(apply)}});
 }
 
-std::optional<TxnAnswer> parse_txn(std::string_view body) {
+std::optional<CasResponse> parse_compare_and_swap(std::string_view body) {
     return parse_fields(body, [](const Fields& fields) {
-        TxnAnswer out;
+        CasResponse out;
         out.revision = fields.count("ledger_tick");
         if (fields.has("failed")) out.failed = fields.texts("failed");
         return out;
--- a/src/wire/state_service.hpp
+++ b/src/wire/state_service.hpp
@@ -14,20 +14,20 @@
 namespace bendspindle::wire {
 
 namespace path {
-inline constexpr const char* txn = "/txn";
+inline constexpr const char* cas_result = "/txn";
 inline constexpr const char* leases = "/leases";
 std::string key(const std::string& key);
 std::string range(const std::string& prefix, const std::string& after, unsigned limit);
 std::string watch(const std::string& prefix, std::uint64_t since, std::chrono::milliseconds wait);
 std::string lease(std::uint64_t lease);
-std::string touch(std::uint64_t lease);
+std::string keep_alive(std::uint64_t lease);
 }  // namespace path
 
 // Reading.
 struct Entry {
     std::string key;
     Value value;
-    std::uint64_t stamp = 0;
+    std::uint64_t mod_revision = 0;
     std::uint64_t lease = 0;  // what the key is attached to, if it was read by itself; 0: nothing
 };
 struct Entries {
@@ -43,20 +43,20 @@
 // Transactions.
 struct Condition {
     std::string key;
-    std::uint64_t stamp = 0;
+    std::uint64_t mod_revision = 0;
 };
 struct Operation {
     std::string key;
     std::optional<Value> put;  // nullopt: delete
     std::optional<std::uint64_t> lease;
 };
-struct TxnAnswer {
+struct CasResponse {
     std::uint64_t revision = 0;
     std::vector<std::string> failed;  // keys whose conditions did not hold
 };
-std::string txn_body(const std::vector<Condition>& conditions,
-                     const std::vector<Operation>& operations);
-std::optional<TxnAnswer> parse_txn(std::string_view body);
+std::string compare_and_swap_body(const std::vector<Condition>& conditions,
+                                  const std::vector<Operation>& operations);
+std::optional<CasResponse> parse_compare_and_swap(std::string_view body);
 
 // Leases.
 std::string lease_body(std::chrono::milliseconds life);
--- a/src/wire/users.cpp
+++ b/src/wire/users.cpp
@@ -12,8 +12,8 @@
 constexpr const char* stage_cancelled = "aborted";
 
 const char* stage_of(const core::JobStatus& status) {
-    if (status.final == core::Final::done) return stage_done;
-    if (status.final == core::Final::cancelled) return stage_cancelled;
+    if (status.terminal_state == core::TerminalState::done) return stage_done;
+    if (status.terminal_state == core::TerminalState::cancelled) return stage_cancelled;
     return status.running > 0 ? stage_running : stage_queued;
 }
 
@@ -40,13 +40,13 @@
     return to_cbor(map);
 }
 
-std::optional<core::Final> final_in_status(std::string_view body) {
+std::optional<core::TerminalState> terminal_state_in_status(std::string_view body) {
     const auto parsed = parse_cbor(body);
     if (!parsed || !parsed->is_object()) return std::nullopt;
     const auto stage = parsed->find("stage");
     if (stage == parsed->end() || !stage->is_string()) return std::nullopt;
-    if (*stage == stage_done) return core::Final::done;
-    if (*stage == stage_cancelled) return core::Final::cancelled;
+    if (*stage == stage_done) return core::TerminalState::done;
+    if (*stage == stage_cancelled) return core::TerminalState::cancelled;
     return std::nullopt;
 }
 
--- a/src/wire/users.hpp
+++ b/src/wire/users.hpp
@@ -25,7 +25,7 @@
 std::string job_body(const core::JobSpec& spec);
 std::string status_body(const std::string& id, const core::JobStatus& status, bool with_counts);
 // The final state that such a body tells, if it tells one.
-std::optional<core::Final> final_in_status(std::string_view body);
+std::optional<core::TerminalState> terminal_state_in_status(std::string_view body);
 // Why a request was refused: the body of every error, a worker's too.
 std::string error_body(const std::string& why);
 
--- a/src/wire/workers.cpp
+++ b/src/wire/workers.cpp
@@ -24,9 +24,10 @@
                                                      {"full", core::ExitCause::no_room},
                                                      {"busy", core::ExitCause::busy},
                                                      {"no_such", core::ExitCause::unknown}}};
-constexpr NameTable<core::Order::Verb, 3> verb_names{{{"start", core::Order::Verb::start},
-                                                      {"stop", core::Order::Verb::stop},
-                                                      {"reap", core::Order::Verb::forget}}};
+constexpr NameTable<core::TaskCommand::Verb, 3> verb_names{
+    {{"start", core::TaskCommand::Verb::start},
+     {"stop", core::TaskCommand::Verb::stop},
+     {"reap", core::TaskCommand::Verb::acknowledge}}};
 
 // A task's name is that of its job, a slash and its number.
 std::string task_name(const std::string& job, std::uint32_t index) {
@@ -64,30 +65,31 @@
     return map;
 }
 
-core::Report read_report(const Fields& fields) {
-    core::Report report;
-    report.machine = fields.text("spindle");
-    if (report.machine.empty() || report.machine.find_first_of(" /") != std::string::npos)
+core::Heartbeat read_report(const Fields& fields) {
+    core::Heartbeat heartbeat;
+    heartbeat.machine = fields.text("spindle");
+    if (heartbeat.machine.empty() || heartbeat.machine.find_first_of(" /") != std::string::npos)
         throw Malformed{"spindle is not a name"};
-    report.address = fields.text("addr");
-    report.type = fields.text("build");
-    report.zone = fields.text("hall");
-    report.spot = fields.flag("loaners");
-    report.session = fields.count("shift");
-    report.seq = fields.count("tick");
-    report.token = fields.count("baton");
-    if (fields.has("warning_s")) report.notice = fields.seconds("warning_s");
-    for (const auto& task : fields.maps("pieces")) report.tasks.push_back(read_task(task));
-    return report;
+    heartbeat.address = fields.text("addr");
+    heartbeat.type = fields.text("build");
+    heartbeat.zone = fields.text("hall");
+    heartbeat.spot = fields.flag("loaners");
+    heartbeat.agent_epoch = fields.count("shift");
+    heartbeat.sequence = fields.count("tick");
+    heartbeat.fencing_token = fields.count("baton");
+    if (fields.has("warning_s")) heartbeat.notice = fields.seconds("warning_s");
+    for (const auto& task : fields.maps("pieces")) heartbeat.tasks.push_back(read_task(task));
+    return heartbeat;
 }
 
-Value orders_value(const std::vector<core::Order>& orders) {
+Value commands_value(const std::vector<core::TaskCommand>& commands) {
     Value out = Value::array();
-    for (const auto& order : orders) {
-        Value map{{"verb", name_of(verb_names, order.verb)},
-                  {"piece", task_name(order.job, order.index)},
-                  {"try", order.attempt}};
-        if (order.verb == core::Order::Verb::stop) map["wind_down_s"] = order.grace.count();
+    for (const auto& command : commands) {
+        Value map{{"verb", name_of(verb_names, command.verb)},
+                  {"piece", task_name(command.job, command.index)},
+                  {"try", command.attempt}};
+        if (command.verb == core::TaskCommand::Verb::stop)
+            map["wind_down_s"] = command.grace.count();
         out.push_back(std::move(map));
     }
     return out;
@@ -95,27 +97,31 @@
 
 }  // namespace
 
-std::optional<core::Report> parse_report(std::string_view body) {
+std::optional<core::Heartbeat> parse_heartbeat(std::string_view body) {
     return parse_fields(body, read_report);
 }
 
-std::string report_body(const core::Report& report) {
+std::string heartbeat_body(const core::Heartbeat& heartbeat) {
     Value pieces = Value::array();
-    for (const auto& task : report.tasks) pieces.push_back(task_value(task));
-    Value map{{"spindle", report.machine}, {"addr", report.address}, {"build", report.type},
-              {"hall", report.zone},       {"loaners", report.spot}, {"shift", report.session},
-              {"tick", report.seq},        {"baton", report.token},  {"pieces", std::move(pieces)}};
-    if (report.notice) map["warning_s"] = report.notice->count();
+    for (const auto& task : heartbeat.tasks) pieces.push_back(task_value(task));
+    Value map{{"spindle", heartbeat.machine}, {"addr", heartbeat.address},
+              {"build", heartbeat.type},      {"hall", heartbeat.zone},
+              {"loaners", heartbeat.spot},    {"shift", heartbeat.agent_epoch},
+              {"tick", heartbeat.sequence},   {"baton", heartbeat.fencing_token},
+              {"pieces", std::move(pieces)}};
+    if (heartbeat.notice) map["warning_s"] = heartbeat.notice->count();
     return to_cbor(map);
 }
 
-std::string orders_body(std::uint64_t token, const std::vector<core::Order>& orders) {
-    return to_cbor(Value{{"baton", token}, {"orders", orders_value(orders)}});
+std::string commands_body(std::uint64_t fencing_token,
+                          const std::vector<core::TaskCommand>& commands) {
+    return to_cbor(Value{{"baton", fencing_token}, {"orders", commands_value(commands)}});
 }
 
-std::string direct_body(const core::DirectCall& call) {
-    return to_cbor(Value{
-        {"baton", call.token}, {"shift", call.session}, {"orders", orders_value(call.orders)}});
+std::string direct_commands_body(const core::DirectCommand& call) {
+    return to_cbor(Value{{"baton", call.fencing_token},
+                         {"shift", call.agent_epoch},
+                         {"orders", commands_value(call.commands)}});
 }
 
 std::string redirect_body(const std::string& node) {
--- a/src/wire/workers.hpp
+++ b/src/wire/workers.hpp
@@ -13,16 +13,17 @@
 namespace bendspindle::wire {
 
 namespace path {
-inline constexpr const char* report = "/checkin";
+inline constexpr const char* heartbeat = "/checkin";
 inline constexpr const char* direct_orders = "/orders";
 inline constexpr const char* inspect = "/inspect";
 }  // namespace path
 
-std::optional<core::Report> parse_report(std::string_view body);
-std::string report_body(const core::Report& report);
-std::string orders_body(std::uint64_t token, const std::vector<core::Order>& orders);
+std::optional<core::Heartbeat> parse_heartbeat(std::string_view body);
+std::string heartbeat_body(const core::Heartbeat& heartbeat);
+std::string commands_body(std::uint64_t fencing_token,
+                          const std::vector<core::TaskCommand>& commands);
 // Orders of a direct call; only these name the worker's session.
-std::string direct_body(const core::DirectCall& call);
+std::string direct_commands_body(const core::DirectCommand& call);
 // Names the controller that takes reports; an empty name: none is known.
 std::string redirect_body(const std::string& node);
 
