--- a/scale/settings.hpp
+++ b/scale/settings.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 
 namespace bendspindle::scale {
 
--- a/scale/worker.hpp
+++ b/scale/worker.hpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 #include "workplace.hpp"
 
 namespace bendspindle::scale {
--- a/src/app/courier.cpp
+++ b/src/agents/agent_command_client.cpp
@@ -1,4 +1,4 @@
-#include "app/courier.hpp"
+#include "agents/agent_command_client.hpp"
 
 #include <algorithm>
 #include <thread>
@@ -6,7 +6,7 @@
 #include "io/http_client.hpp"
 #include "wire/workers.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::agents {
 
 namespace {
 
@@ -62,4 +62,4 @@
     }
 }
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::agents
--- a/src/app/courier.hpp
+++ b/src/agents/agent_command_client.hpp
@@ -5,24 +5,24 @@
 #include <deque>
 #include <mutex>
 
-#include "app/office.hpp"
 #include "core/controller.hpp"
+#include "state/leader_state.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::agents {
 
 class AgentCommandClient {
   public:
-    explicit AgentCommandClient(LeaderState& leader_state) : leader_state_(leader_state) {}
+    explicit AgentCommandClient(state::LeaderState& leader_state) : leader_state_(leader_state) {}
     void start();
     void send(core::DirectCommand call);
 
   private:
     void run();
 
-    LeaderState& leader_state_;
+    state::LeaderState& leader_state_;
     std::mutex mutex_;
     std::condition_variable wake_;
     std::deque<core::DirectCommand> queue_;
 };
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::agents
--- a/src/app/report_desk.cpp
+++ b/src/agents/heartbeat_handler.cpp
@@ -1,4 +1,4 @@
-#include "app/report_desk.hpp"
+#include "agents/heartbeat_handler.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -7,7 +7,7 @@
 #include "wire/users.hpp"
 #include "wire/workers.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::agents {
 
 namespace {
 
@@ -35,9 +35,11 @@
 
 }  // namespace
 
-HeartbeatHandler::HeartbeatHandler(const core::AgentTimings& workers, LeaderState& leader_state,
-                                   Leadership& leadership, Peers& peers,
-                                   CancellationReplication& replication, ClockFunction clock)
+HeartbeatHandler::HeartbeatHandler(const core::AgentTimings& workers,
+                                   state::LeaderState& leader_state,
+                                   leadership::Leadership& leadership, leadership::Peers& peers,
+                                   leadership::CancellationReplication& replication,
+                                   io::ClockFunction clock)
     : leader_state_(leader_state),
       leadership_(leadership),
       peers_(peers),
@@ -58,19 +60,19 @@
     return true;
 }
 
-Response HeartbeatHandler::heartbeat(const std::string& body, RequestOrigin from) {
+wire::Response HeartbeatHandler::heartbeat(const std::string& body, RequestOrigin from) {
     const auto heartbeat = wire::parse_heartbeat(body);
     if (!heartbeat) return {400, 0, wire::error_body("malformed report")};
     const auto status = leadership_.status();
     if (!status.leading) {
-        if (from == RequestOrigin::peer) return unavailable("another controller acts");
+        if (from == RequestOrigin::peer) return wire::unavailable("another controller acts");
         return at_follower(*heartbeat, body, status);
     }
     // Guard: a worker that knows a newer token would drop the answer and stay with this node
     // until its lease is gone.
     if (heartbeat->fencing_token > status.term) {
         leadership_.observe_newer_term(heartbeat->fencing_token);
-        return unavailable("another controller acts");
+        return wire::unavailable("another controller acts");
     }
     {
         const std::lock_guard lock(mutex_);
@@ -79,16 +81,16 @@
     return at_leader(*heartbeat, status.term);
 }
 
-Response HeartbeatHandler::at_leader(const core::Heartbeat& heartbeat, std::uint64_t term) {
+wire::Response HeartbeatHandler::at_leader(const core::Heartbeat& heartbeat, std::uint64_t term) {
     const std::lock_guard lock(leader_state_.mutex);
-    if (!replication_.may_renew()) return unavailable("another controller may act");
+    if (!replication_.may_renew()) return wire::unavailable("another controller may act");
     // Guard against ran_cancelled: before the records are loaded this controller knows no more than
     // a follower, and renews no more than one. Each of several leaders that follow each other
     // quickly used to give every machine another lease, and none of them a stop.
     if (!leader_state_.controller) return renew_without_leader(heartbeat, term);
     const auto before = leader_state_.controller->counts();
     const auto answer = leader_state_.controller->heartbeat(heartbeat, clock_());
-    if (!answer.entitled) return unavailable("another controller acts");
+    if (!answer.entitled) return wire::unavailable("another controller acts");
     log_answer(heartbeat, before, leader_state_.controller->counts(), answer.commands);
     leader_state_.want_write();
     const bool changed =
@@ -98,8 +100,9 @@
     return {200, 0, wire::commands_body(answer.fencing_token, answer.commands)};
 }
 
-Response HeartbeatHandler::at_follower(const core::Heartbeat& heartbeat, const std::string& body,
-                                       const LeadershipStatus& status) {
+wire::Response HeartbeatHandler::at_follower(const core::Heartbeat& heartbeat,
+                                             const std::string& body,
+                                             const leadership::LeadershipStatus& status) {
     if (heartbeat.fencing_token > status.term)
         leadership_.observe_newer_term(heartbeat.fencing_token);
     if (status.leader.empty() || heartbeat.fencing_token > status.term)
@@ -112,8 +115,8 @@
     }
     if (there) return {421, 0, wire::redirect_body(status.leader)};
     // The worker cannot reach the leader: its report is handed on.
-    if (auto response = forward_to_leader(wire::peer::Op::heartbeat, heartbeat.machine, body,
-                                          leadership_, peers_);
+    if (auto response = leadership::forward_to_leader(wire::peer::Op::heartbeat, heartbeat.machine,
+                                                      body, leadership_, peers_);
         response && response->status == 200)
         return *response;
     return renew_without_leader(heartbeat, status.term);
@@ -122,14 +125,14 @@
 // The token is still the last one known, so the worker may go on; whoever acts next confirms it.
 // Guard against ran_cancelled: with nobody who acts such answers kept tasks alive, for as long as
 // an outage lasted, whose users had been told that they are cancelled.
-Response HeartbeatHandler::renew_without_leader(const core::Heartbeat& heartbeat,
-                                                std::uint64_t term) {
+wire::Response HeartbeatHandler::renew_without_leader(const core::Heartbeat& heartbeat,
+                                                      std::uint64_t term) {
     const auto stops = replication_.renew_without_leader(heartbeat);
-    if (!stops) return unavailable("nobody is known to act");
+    if (!stops) return wire::unavailable("nobody is known to act");
     for (const auto& command : *stops)
         spdlog::info("{}: stop {}/{}, cancelled, with nobody at hand who acts", heartbeat.machine,
                      command.job, command.index);
     return {200, 0, wire::commands_body(term, *stops)};
 }
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::agents
--- a/src/app/visits.cpp
+++ b/src/agents/heartbeat_routing.cpp
@@ -1,8 +1,8 @@
-#include "app/visits.hpp"
+#include "agents/heartbeat_routing.hpp"
 
 #include <algorithm>
 
-namespace bendspindle::app {
+namespace bendspindle::agents {
 
 namespace {
 
@@ -62,4 +62,4 @@
            core::between(last_direct_, now) > patience;
 }
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::agents
--- a/src/app/visits.hpp
+++ b/src/agents/heartbeat_routing.hpp
@@ -14,9 +14,9 @@
 #include <string>
 #include <unordered_map>
 
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::agents {
 
 class HeartbeatRouting {
   public:
@@ -50,4 +50,4 @@
     std::set<std::string> via_peer_;  // since the last that came by itself
 };
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::agents
--- a/src/app/allowance.hpp
+++ b/src/api/token_bucket.hpp
@@ -3,9 +3,9 @@
 
 #include <algorithm>
 
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::api {
 
 class TokenBucket {
   public:
@@ -28,4 +28,4 @@
     core::TimePoint last_{};
 };
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::api
--- a/src/app/cloud_desk.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -1,4 +1,4 @@
-#include "app/cloud_desk.hpp"
+#include "cloud/cloud_client.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -7,7 +7,7 @@
 
 #include "wire/cloud.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::cloud {
 
 namespace {
 
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-CloudClient::CloudClient(LeaderState& leader_state, const Settings& settings,
+CloudClient::CloudClient(state::LeaderState& leader_state, const config::Settings& settings,
                          std::function<bool()> may_act)
     : leader_state_(leader_state),
       client_(settings.cloud, call_limit),
@@ -139,4 +139,4 @@
     }
 }
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::cloud
--- a/src/app/cloud_desk.hpp
+++ b/src/cloud/cloud_client.hpp
@@ -7,16 +7,17 @@
 #include <functional>
 #include <vector>
 
-#include "app/office.hpp"
-#include "app/settings.hpp"
+#include "config/settings.hpp"
 #include "io/http_client.hpp"
+#include "state/leader_state.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::cloud {
 
 class CloudClient {
   public:
     // `may_act`: whether no other controller can act yet.
-    CloudClient(LeaderState& leader_state, const Settings& settings, std::function<bool()> may_act);
+    CloudClient(state::LeaderState& leader_state, const config::Settings& settings,
+                std::function<bool()> may_act);
     // Runs until the process ends.
     void run();
 
@@ -28,7 +29,7 @@
     void release(const core::ScalingPlan& plan, std::uint64_t term);
     void pace();
 
-    LeaderState& leader_state_;
+    state::LeaderState& leader_state_;
     io::HttpClient client_;
     std::function<bool()> may_act_;
     Clock::duration spacing_;
@@ -38,4 +39,4 @@
     Clock::time_point next_list_{};
 };
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::cloud
--- a/src/app/settings.cpp
+++ b/src/config/settings.cpp
@@ -1,4 +1,4 @@
-#include "app/settings.hpp"
+#include "config/settings.hpp"
 
 #include <sfsexp/sexp.h>
 
@@ -12,7 +12,7 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-namespace bendspindle::app {
+namespace bendspindle::config {
 
 namespace {
 
@@ -235,8 +235,8 @@
     return own;
 }
 
-admission::FloorSettings load_admission(const std::string& file, const Settings& settings) {
-    admission::FloorSettings floors;
+fair_share::FloorSettings load_admission(const std::string& file, const Settings& settings) {
+    fair_share::FloorSettings floors;
     if (file.empty()) {
         // Guard: on a site of few machines a floor is less than one gang's size, and claims it
         // whole: urgent gangs lost their machines to work that was served anyway
@@ -309,4 +309,4 @@
     return config;
 }
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::config
--- a/src/app/settings.hpp
+++ b/src/config/settings.hpp
@@ -8,7 +8,7 @@
 #include "core/controller.hpp"
 #include "io/http_client.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::config {
 
 // One line that names the file and the field.
 class SettingsError : public std::runtime_error {
@@ -60,14 +60,14 @@
     std::size_t threads = 160;
     std::size_t stack_kb = 256;
     std::size_t terminal_states_cached = 4096;
-    admission::FloorSettings floors;  // of a file of its own: deploy/admission.sexp
+    fair_share::FloorSettings floors;  // of a file of its own: deploy/admission.sexp
 };
 
 Settings load_settings(const std::string& file);
 OperatorSettings load_operator_settings(const std::string& file);
 // Floors and weights; without a file there are no floors. Teams are those of the platform's
 // settings.
-admission::FloorSettings load_admission(const std::string& file, const Settings& settings);
+fair_share::FloorSettings load_admission(const std::string& file, const Settings& settings);
 // Connections served at once, a thread each: what operators allow, the sockets and the memory of
 // the platform's settings permit.
 std::size_t most_connections(const Settings& settings, const OperatorSettings& own);
@@ -75,4 +75,4 @@
 std::size_t most_waiting(const Settings& settings, std::size_t served);
 core::Config core_config(const Settings& settings, const OperatorSettings& own);
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::config
--- a/src/core/renting.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -1,4 +1,4 @@
-#include "core/renting.hpp"
+#include "core/autoscaling/autoscaler.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/renting.hpp
+++ b/src/core/autoscaling/autoscaler.hpp
@@ -9,13 +9,13 @@
 #include <string>
 #include <vector>
 
-#include "core/catalog.hpp"
+#include "core/autoscaling/demand_forecast.hpp"
+#include "core/cluster/job_table.hpp"
+#include "core/cluster/machine_catalog.hpp"
+#include "core/cluster/machine_inventory.hpp"
 #include "core/config.hpp"
-#include "core/demand.hpp"
-#include "core/estimates.hpp"
-#include "core/fleet.hpp"
-#include "core/ledger.hpp"
-#include "core/pipelines.hpp"
+#include "core/scheduling/quota_accounting.hpp"
+#include "core/scheduling/runtime_estimates.hpp"
 
 namespace bendspindle::core {
 
--- a/src/core/demand.cpp
+++ b/src/core/autoscaling/demand_forecast.cpp
@@ -1,4 +1,4 @@
-#include "core/demand.hpp"
+#include "core/autoscaling/demand_forecast.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/demand.hpp
+++ b/src/core/autoscaling/demand_forecast.hpp
@@ -6,9 +6,9 @@
 #include <optional>
 #include <string>
 
-#include "core/catalog.hpp"
+#include "core/cluster/machine_catalog.hpp"
 #include "core/config.hpp"
-#include "core/estimates.hpp"
+#include "core/scheduling/runtime_estimates.hpp"
 
 namespace bendspindle::core {
 
--- a/src/core/job.cpp
+++ b/src/core/cluster/job.cpp
@@ -1,4 +1,4 @@
-#include "core/job.hpp"
+#include "core/cluster/job.hpp"
 
 #include <algorithm>
 
--- a/src/core/pipelines.cpp
+++ b/src/core/cluster/job_table.cpp
@@ -1,4 +1,4 @@
-#include "core/pipelines.hpp"
+#include "core/cluster/job_table.hpp"
 
 #include <algorithm>
 
--- a/src/core/pipelines.hpp
+++ b/src/core/cluster/job_table.hpp
@@ -11,8 +11,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/fleet.hpp"
-#include "core/job.hpp"
+#include "core/cluster/job.hpp"
+#include "core/cluster/machine_inventory.hpp"
 
 namespace bendspindle::core {
 
--- a/src/core/catalog.cpp
+++ b/src/core/cluster/machine_catalog.cpp
@@ -1,4 +1,4 @@
-#include "core/catalog.hpp"
+#include "core/cluster/machine_catalog.hpp"
 
 #include <algorithm>
 
--- a/src/core/catalog.hpp
+++ b/src/core/cluster/machine_catalog.hpp
@@ -7,7 +7,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 
 namespace bendspindle::core {
 
--- a/src/core/fleet.cpp
+++ b/src/core/cluster/machine_inventory.cpp
@@ -1,4 +1,4 @@
-#include "core/fleet.hpp"
+#include "core/cluster/machine_inventory.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/fleet.hpp
+++ b/src/core/cluster/machine_inventory.hpp
@@ -20,11 +20,11 @@
 #include <utility>
 #include <vector>
 
-#include "core/catalog.hpp"
+#include "core/cluster/job.hpp"
+#include "core/cluster/machine_catalog.hpp"
 #include "core/config.hpp"
-#include "core/dsmf.hpp"
-#include "core/job.hpp"
-#include "core/types.hpp"
+#include "core/model/types.hpp"
+#include "core/scheduling/dsmf.hpp"
 
 namespace bendspindle::core {
 
--- a/src/core/config.hpp
+++ b/src/core/config.hpp
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "admission/floors.hpp"
-#include "core/types.hpp"
+#include "core/model/types.hpp"
+#include "fair_share/minimum_share.hpp"
 
 namespace bendspindle::core {
 
@@ -27,7 +27,7 @@
     double headroom = 1.0;
     // Demand is averaged over about this long.
     Seconds demand_memory{60};
-    admission::FloorSettings floors;
+    fair_share::FloorSettings floors;
 
     // Null: no such team.
     const Team* team(const std::string& name_of_team) const {
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -12,17 +12,17 @@
 #include <string>
 #include <vector>
 
-#include "core/catalog.hpp"
-#include "core/changes.hpp"
+#include "core/autoscaling/autoscaler.hpp"
+#include "core/cluster/job_table.hpp"
+#include "core/cluster/machine_catalog.hpp"
+#include "core/cluster/machine_inventory.hpp"
 #include "core/config.hpp"
-#include "core/dispatch.hpp"
-#include "core/estimates.hpp"
-#include "core/fleet.hpp"
-#include "core/ledger.hpp"
-#include "core/pipelines.hpp"
-#include "core/placing.hpp"
-#include "core/preemption.hpp"
-#include "core/renting.hpp"
+#include "core/reconciliation/agent_gateway.hpp"
+#include "core/scheduling/placement_cycle.hpp"
+#include "core/scheduling/preemption.hpp"
+#include "core/scheduling/quota_accounting.hpp"
+#include "core/scheduling/runtime_estimates.hpp"
+#include "core/write_queue.hpp"
 
 namespace bendspindle::core {
 
--- a/src/core/dispatch.cpp
+++ b/src/core/reconciliation/agent_gateway.cpp
@@ -1,4 +1,4 @@
-#include "core/dispatch.hpp"
+#include "core/reconciliation/agent_gateway.hpp"
 
 namespace bendspindle::core {
 
--- a/src/core/dispatch.hpp
+++ b/src/core/reconciliation/agent_gateway.hpp
@@ -11,17 +11,17 @@
 #include <string>
 #include <vector>
 
-#include "core/catalog.hpp"
+#include "core/cluster/job_table.hpp"
+#include "core/cluster/machine_catalog.hpp"
+#include "core/cluster/machine_inventory.hpp"
 #include "core/config.hpp"
-#include "core/direct_calls.hpp"
-#include "core/dispatch_counts.hpp"
-#include "core/estimates.hpp"
-#include "core/failures.hpp"
-#include "core/fleet.hpp"
-#include "core/orders.hpp"
-#include "core/pipelines.hpp"
-#include "core/reconciliation.hpp"
-#include "core/start_stories.hpp"
+#include "core/reconciliation/agent_counters.hpp"
+#include "core/reconciliation/command_planner.hpp"
+#include "core/reconciliation/direct_commands.hpp"
+#include "core/reconciliation/failure_attribution.hpp"
+#include "core/reconciliation/start_latency.hpp"
+#include "core/reconciliation/task_reconciliation.hpp"
+#include "core/scheduling/runtime_estimates.hpp"
 
 namespace bendspindle::core {
 
--- a/src/core/orders.cpp
+++ b/src/core/reconciliation/command_planner.cpp
@@ -1,4 +1,4 @@
-#include "core/orders.hpp"
+#include "core/reconciliation/command_planner.hpp"
 
 #include <algorithm>
 
--- a/src/core/orders.hpp
+++ b/src/core/reconciliation/command_planner.hpp
@@ -7,12 +7,12 @@
 #include <string>
 #include <vector>
 
-#include "core/catalog.hpp"
+#include "core/cluster/job_table.hpp"
+#include "core/cluster/machine_catalog.hpp"
+#include "core/cluster/machine_inventory.hpp"
 #include "core/config.hpp"
-#include "core/dispatch_counts.hpp"
-#include "core/estimates.hpp"
-#include "core/fleet.hpp"
-#include "core/pipelines.hpp"
+#include "core/reconciliation/agent_counters.hpp"
+#include "core/scheduling/runtime_estimates.hpp"
 
 namespace bendspindle::core {
 
--- a/src/core/direct_calls.cpp
+++ b/src/core/reconciliation/direct_commands.cpp
@@ -1,4 +1,4 @@
-#include "core/direct_calls.hpp"
+#include "core/reconciliation/direct_commands.hpp"
 
 #include <algorithm>
 
--- a/src/core/direct_calls.hpp
+++ b/src/core/reconciliation/direct_commands.hpp
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "core/fleet.hpp"
-#include "core/orders.hpp"
-#include "core/pipelines.hpp"
+#include "core/cluster/job_table.hpp"
+#include "core/cluster/machine_inventory.hpp"
+#include "core/reconciliation/command_planner.hpp"
 
 namespace bendspindle::core {
 
--- a/src/core/failures.cpp
+++ b/src/core/reconciliation/failure_attribution.cpp
@@ -1,4 +1,4 @@
-#include "core/failures.hpp"
+#include "core/reconciliation/failure_attribution.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/failures.hpp
+++ b/src/core/reconciliation/failure_attribution.hpp
@@ -2,8 +2,8 @@
 // failures on several machines against the job.
 #pragma once
 
-#include "core/fleet.hpp"
-#include "core/job.hpp"
+#include "core/cluster/job.hpp"
+#include "core/cluster/machine_inventory.hpp"
 
 namespace bendspindle::core {
 
--- a/src/core/start_stories.cpp
+++ b/src/core/reconciliation/start_latency.cpp
@@ -1,4 +1,4 @@
-#include "core/start_stories.hpp"
+#include "core/reconciliation/start_latency.hpp"
 
 #include <utility>
 
--- a/src/core/start_stories.hpp
+++ b/src/core/reconciliation/start_latency.hpp
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/job.hpp"
+#include "core/cluster/job.hpp"
 
 namespace bendspindle::core {
 
--- a/src/core/reconciliation.cpp
+++ b/src/core/reconciliation/task_reconciliation.cpp
@@ -1,4 +1,4 @@
-#include "core/reconciliation.hpp"
+#include "core/reconciliation/task_reconciliation.hpp"
 
 #include <algorithm>
 
--- a/src/core/reconciliation.hpp
+++ b/src/core/reconciliation/task_reconciliation.hpp
@@ -9,14 +9,14 @@
 #include <set>
 #include <vector>
 
-#include "core/catalog.hpp"
-#include "core/dispatch_counts.hpp"
-#include "core/estimates.hpp"
-#include "core/failures.hpp"
-#include "core/fleet.hpp"
-#include "core/orders.hpp"
-#include "core/pipelines.hpp"
-#include "core/start_stories.hpp"
+#include "core/cluster/job_table.hpp"
+#include "core/cluster/machine_catalog.hpp"
+#include "core/cluster/machine_inventory.hpp"
+#include "core/reconciliation/agent_counters.hpp"
+#include "core/reconciliation/command_planner.hpp"
+#include "core/reconciliation/failure_attribution.hpp"
+#include "core/reconciliation/start_latency.hpp"
+#include "core/scheduling/runtime_estimates.hpp"
 
 namespace bendspindle::core {
 
--- a/src/core/capacity.cpp
+++ b/src/core/scheduling/capacity.cpp
@@ -1,4 +1,4 @@
-#include "core/capacity.hpp"
+#include "core/scheduling/capacity.hpp"
 
 #include <algorithm>
 
--- a/src/core/capacity.hpp
+++ b/src/core/scheduling/capacity.hpp
@@ -5,9 +5,9 @@
 #include <map>
 #include <vector>
 
-#include "core/catalog.hpp"
+#include "core/cluster/machine_catalog.hpp"
+#include "core/cluster/machine_inventory.hpp"
 #include "core/config.hpp"
-#include "core/fleet.hpp"
 
 namespace bendspindle::core {
 
--- a/src/core/dsmf.hpp
+++ b/src/core/scheduling/dsmf.hpp
@@ -13,7 +13,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 
 namespace bendspindle::core::dsmf {
 
--- a/src/core/placing.cpp
+++ b/src/core/scheduling/placement_cycle.cpp
@@ -1,10 +1,10 @@
-#include "core/placing.hpp"
+#include "core/scheduling/placement_cycle.hpp"
 
 #include <algorithm>
 #include <map>
 #include <set>
 
-#include "admission/sharing.hpp"
+#include "fair_share/makespan_stretch.hpp"
 
 namespace bendspindle::core {
 
@@ -142,13 +142,13 @@
     for (const auto& [serial, job] : job_table_.all())
         if (!job->over() && !job->placed.empty())
             used[quota.rank(*job)] += quota.share(*job, job->placed.size());
-    std::vector<admission::Asking> asking;
+    std::vector<fair_share::Asking> asking;
     for (std::size_t p = 0; p < snapshot.pipelines.size(); ++p) {
         const auto& pipeline = snapshot.pipelines[p];
         const auto tasks = pipeline.eligible.front().tasks;
         asking.push_back({pipeline.rank, quota.share(*snapshot.jobs[p], tasks)});
     }
-    const auto factors = admission::stretch(asking, used);
+    const auto factors = fair_share::stretch(asking, used);
     for (std::size_t p = 0; p < factors.size(); ++p) snapshot.pipelines[p].stretch = factors[p];
 }
 
--- a/src/core/placing.hpp
+++ b/src/core/scheduling/placement_cycle.hpp
@@ -4,14 +4,14 @@
 
 #include <vector>
 
-#include "core/catalog.hpp"
+#include "core/cluster/job_table.hpp"
+#include "core/cluster/machine_catalog.hpp"
+#include "core/cluster/machine_inventory.hpp"
 #include "core/config.hpp"
-#include "core/dsmf.hpp"
-#include "core/estimates.hpp"
-#include "core/fleet.hpp"
-#include "core/ledger.hpp"
-#include "core/pipelines.hpp"
-#include "core/preemption.hpp"
+#include "core/scheduling/dsmf.hpp"
+#include "core/scheduling/preemption.hpp"
+#include "core/scheduling/quota_accounting.hpp"
+#include "core/scheduling/runtime_estimates.hpp"
 
 namespace bendspindle::core {
 
--- a/src/core/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -1,4 +1,4 @@
-#include "core/preemption.hpp"
+#include "core/scheduling/preemption.hpp"
 
 #include <algorithm>
 
--- a/src/core/ledger.cpp
+++ b/src/core/scheduling/quota_accounting.cpp
@@ -1,4 +1,4 @@
-#include "core/ledger.hpp"
+#include "core/scheduling/quota_accounting.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -51,11 +51,11 @@
 }
 
 void QuotaAccounting::fill_floors(QuotaSnapshot& quota, TimePoint now) const {
-    std::vector<admission::Holding> holdings;
+    std::vector<fair_share::Holding> holdings;
     std::vector<std::uint64_t> serials;
     for (const auto& [serial, job] : job_table_.all()) {
         if (job->over() || !job->durable) continue;
-        admission::Holding holding;
+        fair_share::Holding holding;
         holding.job_class = job->spec.job_class;
         holding.team = job->spec.team;
         holding.used = quota.share(*job, job->placed.size());
@@ -65,7 +65,7 @@
         holdings.push_back(holding);
         serials.push_back(serial);
     }
-    const auto floored = admission::floors(holdings, config_.floors);
+    const auto floored = fair_share::floors(holdings, config_.floors);
     // Guard: under their floors jobs go by age. By makespan, jobs of a class that is served beyond
     // its floor most of the time kept a long one of another class out at each turn.
     int rank = floors_from;
--- a/src/core/ledger.hpp
+++ b/src/core/scheduling/quota_accounting.hpp
@@ -8,11 +8,11 @@
 #include <unordered_map>
 #include <unordered_set>
 
-#include "core/capacity.hpp"
-#include "core/catalog.hpp"
+#include "core/cluster/job_table.hpp"
+#include "core/cluster/machine_catalog.hpp"
+#include "core/cluster/machine_inventory.hpp"
 #include "core/config.hpp"
-#include "core/fleet.hpp"
-#include "core/pipelines.hpp"
+#include "core/scheduling/capacity.hpp"
 
 namespace bendspindle::core {
 
--- a/src/core/estimates.cpp
+++ b/src/core/scheduling/runtime_estimates.cpp
@@ -1,4 +1,4 @@
-#include "core/estimates.hpp"
+#include "core/scheduling/runtime_estimates.hpp"
 
 #include <algorithm>
 
--- a/src/core/estimates.hpp
+++ b/src/core/scheduling/runtime_estimates.hpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <string>
 
-#include "core/job.hpp"
+#include "core/cluster/job.hpp"
 
 namespace bendspindle::core {
 
--- a/src/core/changes.cpp
+++ b/src/core/write_queue.cpp
@@ -1,4 +1,4 @@
-#include "core/changes.hpp"
+#include "core/write_queue.hpp"
 
 namespace bendspindle::core {
 
--- a/src/core/changes.hpp
+++ b/src/core/write_queue.hpp
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
+#include "core/cluster/job.hpp"
+#include "core/cluster/job_table.hpp"
+#include "core/cluster/machine_inventory.hpp"
 #include "core/config.hpp"
-#include "core/fleet.hpp"
-#include "core/job.hpp"
-#include "core/pipelines.hpp"
 
 namespace bendspindle::core {
 
--- a/src/app/main.cpp
+++ b/src/daemon/main.cpp
@@ -9,10 +9,10 @@
 #include <iostream>
 #include <thread>
 
-#include "app/client.hpp"
-#include "app/service.hpp"
-#include "app/settings.hpp"
-#include "app/stop_signal.hpp"
+#include "config/settings.hpp"
+#include "daemon/client.hpp"
+#include "daemon/service.hpp"
+#include "daemon/stop_signal.hpp"
 
 namespace {
 
@@ -20,7 +20,7 @@
 
 constexpr int bad_settings = 2;
 
-void set_up_logging(const app::OperatorSettings& own) {
+void set_up_logging(const config::OperatorSettings& own) {
     spdlog::set_default_logger(spdlog::stderr_logger_mt("bendspindle"));
     spdlog::set_pattern("%H:%M:%S.%e %l %v");
     std::string level = own.log_level;
@@ -47,7 +47,7 @@
 }
 
 // Many threads in little memory: small stacks, and few arenas for the allocator.
-void fit_small_machines(const app::OperatorSettings& own) {
+void fit_small_machines(const config::OperatorSettings& own) {
     ::mallopt(M_ARENA_MAX, 2);  // NOLINT(concurrency-mt-unsafe): no other thread yet
     // Guard against ending at once: a stack must also hold the thread's own storage, which a
     // checker for threads makes larger than a small stack; then no thread could be started.
@@ -58,13 +58,13 @@
 
 int serve(const std::string& config, const std::string& operator_file,
           const std::string& admission_file) {
-    auto settings = app::load_settings(config);
-    auto own = app::load_operator_settings(operator_file);
-    own.floors = app::load_admission(admission_file, settings);
+    auto settings = config::load_settings(config);
+    auto own = config::load_operator_settings(operator_file);
+    own.floors = config::load_admission(admission_file, settings);
     fit_small_machines(own);
     set_up_logging(own);
-    app::catch_stop_signals();
-    app::Service service(std::move(settings), std::move(own));
+    daemon::catch_stop_signals();
+    daemon::Service service(std::move(settings), std::move(own));
     return service.run() ? 0 : 1;
 }
 
@@ -101,15 +101,15 @@
     }
     if (*serve_verb) return serve(config, operator_file, admission_file);
     if (*check_verb) {
-        const auto settings = app::load_settings(config);
-        app::load_operator_settings(operator_file);
-        app::load_admission(admission_file, settings);
+        const auto settings = config::load_settings(config);
+        config::load_operator_settings(operator_file);
+        config::load_admission(admission_file, settings);
         std::cout << "settings are good\n";
         return 0;
     }
-    if (*submit_verb) return app::submit_file(endpoint, argument);
-    if (*status_verb) return app::show_status(endpoint, argument);
-    return app::cancel_job(endpoint, argument);
+    if (*submit_verb) return daemon::submit_file(endpoint, argument);
+    if (*status_verb) return daemon::show_status(endpoint, argument);
+    return daemon::cancel_job(endpoint, argument);
 }
 
 }  // namespace
@@ -119,7 +119,7 @@
     std::signal(SIGPIPE, SIG_IGN);
     try {
         return run(argc, argv);
-    } catch (const app::SettingsError& e) {
+    } catch (const config::SettingsError& e) {
         std::cerr << "bendspindle: " << e.what() << "\n";
         return bad_settings;
     } catch (const std::exception& e) {
--- a/src/app/service.cpp
+++ b/src/daemon/service.cpp
@@ -1,4 +1,4 @@
-#include "app/service.hpp"
+#include "daemon/service.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -6,12 +6,12 @@
 #include <cstdlib>
 #include <thread>
 
-#include "app/stop_signal.hpp"
+#include "daemon/stop_signal.hpp"
 #include "wire/records.hpp"
 #include "wire/users.hpp"
 #include "wire/workers.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::daemon {
 
 namespace {
 
@@ -45,7 +45,7 @@
 }
 
 // Whether others may have told a newer state than this answer's since it was asked for.
-bool aged(const Response& response, std::chrono::steady_clock::time_point asked) {
+bool aged(const wire::Response& response, std::chrono::steady_clock::time_point asked) {
     if (std::chrono::steady_clock::now() - asked <= told_within) return false;
     if (response.status == 404) return true;
     return response.status == 200 && !wire::terminal_state_in_status(response.body);
@@ -53,7 +53,7 @@
 
 }  // namespace
 
-Service::Service(Settings settings, OperatorSettings own)
+Service::Service(config::Settings settings, config::OperatorSettings own)
     : settings_(std::move(settings)),
       own_(std::move(own)),
       store_(settings_.state),
@@ -63,7 +63,7 @@
                     take_over(term, mod_revision);
                 },
                 [this] { on_deposed(); }}),
-      peers_(peer_names(settings_), socket_link(settings_)),
+      peers_(leadership::peer_names(settings_), leadership::socket_link(settings_)),
       replication_(settings_.name, settings_.workers, elector_, peers_),
       state_writer_(leader_state_, store_, terminal_states_, settings_.state_limits),
       job_admission_(store_, settings_.state_limits),
@@ -79,13 +79,15 @@
     heartbeats_.on_elected();
     replication_.on_elected();
     // Loading runs beside the renewal of the lease, which this thread must not hold up.
-    std::thread([this, term, leader_key_revision, log = FailoverProgress(Clock::now())]() mutable {
+    std::thread([this, term, leader_key_revision,
+                 log = state::FailoverProgress(Clock::now())]() mutable {
         std::unique_ptr<core::Controller> controller;
         std::optional<std::uint64_t> revision;
         for (;;) {
             const auto now = elector_.status();
             if (!now.leading || now.term != term) return;
-            controller = std::make_unique<core::Controller>(core_config(settings_, own_), term);
+            controller =
+                std::make_unique<core::Controller>(config::core_config(settings_, own_), term);
             revision = load(*controller);
             if (revision) break;
             std::this_thread::sleep_for(load_retry);
@@ -102,11 +104,11 @@
 }
 
 std::optional<std::uint64_t> Service::load(core::Controller& controller) {
-    const auto machines = store_.list("machine/");
-    if (machines.outcome != StoreStatus::ok) return std::nullopt;
+    const auto machines = store_.list(state::keys::machines);
+    if (machines.outcome != state::StoreStatus::ok) return std::nullopt;
     const auto now = Clock::now();
     for (const auto& entry : machines.entries) {
-        const auto name = entry.key.substr(std::string("machine/").size());
+        const auto name = entry.key.substr(std::string(state::keys::machines).size());
         const auto machine = wire::parse_machine_record(name, entry.value);
         // Guard against nobody acting for ever: one record that could not be read kept each
         // controller in turn from taking over. A machine without a readable record is asked back
@@ -118,15 +120,15 @@
         }
         controller.load_machine(*machine, entry.mod_revision, now);
     }
-    const auto jobs = store_.list(keys::jobs);
-    if (jobs.outcome != StoreStatus::ok) return std::nullopt;
+    const auto jobs = store_.list(state::keys::jobs);
+    if (jobs.outcome != state::StoreStatus::ok) return std::nullopt;
     std::vector<std::pair<core::JobRecord, std::uint64_t>> records;
     for (const auto& entry : jobs.entries) {
         auto record = wire::parse_job_record(entry.value);
         // It stays as it is and its user is told so; all others go on.
         if (!record) {
             spdlog::error("record {} cannot be read; set aside", entry.key);
-            controller.quarantine(entry.key.substr(std::string(keys::jobs).size()));
+            controller.quarantine(entry.key.substr(std::string(state::keys::jobs).size()));
             continue;
         }
         records.emplace_back(std::move(*record), entry.mod_revision);
@@ -162,8 +164,8 @@
 // One that another controller has accepted a moment ago, before the news of it came. False: it is
 // not open, or is not to be learned now.
 bool Service::adopt_job(const std::string& id, std::uint64_t term) {
-    const auto open = store_.get(keys::job(id));
-    if (open.outcome != StoreStatus::ok) return false;
+    const auto open = store_.get(state::keys::job(id));
+    if (open.outcome != state::StoreStatus::ok) return false;
     adopt_jobs({open.entry}, 0, term);
     const std::lock_guard lock(leader_state_.mutex);
     return leader_state_.controller && leader_state_.controller->term() == term &&
@@ -182,9 +184,10 @@
             }
         }
         if (term != 0) {
-            auto news = store_.watch(keys::jobs, since, watch_wait);
-            if (news.outcome == StoreStatus::too_old) news = store_.list(keys::jobs);
-            if (news.outcome == StoreStatus::ok) adopt_jobs(news.entries, news.revision, term);
+            auto news = store_.watch(state::keys::jobs, since, watch_wait);
+            if (news.outcome == state::StoreStatus::too_old) news = store_.list(state::keys::jobs);
+            if (news.outcome == state::StoreStatus::ok)
+                adopt_jobs(news.entries, news.revision, term);
         }
         // This controller's own writes end the wait too; a pause lets several come together.
         std::this_thread::sleep_for(learn_pause);
@@ -194,7 +197,7 @@
 void Service::on_deposed() {
     const std::lock_guard lock(leader_state_.mutex);
     if (leader_state_.controller)
-        replication_.on_deposed(cancelled_jobs(*leader_state_.controller));
+        replication_.on_deposed(leadership::cancelled_jobs(*leader_state_.controller));
     leader_state_.controller.reset();
     leader_state_.recorded.notify_all();
 }
@@ -205,30 +208,32 @@
     return leader_state_.recorded.wait_for(lock, record_limit, ready);
 }
 
-std::optional<Response> Service::from_terminal_cache(const std::string& id, bool with_counts) {
+std::optional<wire::Response> Service::from_terminal_cache(const std::string& id,
+                                                           bool with_counts) {
     const auto terminal_state = terminal_states_.get(id);
     if (!terminal_state) return std::nullopt;
-    return Response{200, 0, wire::status_body(id, terminal_status(*terminal_state), with_counts)};
+    return wire::Response{200, 0,
+                          wire::status_body(id, terminal_status(*terminal_state), with_counts)};
 }
 
 // Guard against leases that end for a flood of questions: while nobody acts each poll reads
 // records, and the state service refused renewals and writes together with them.
-Response Service::poll_records(const std::string& id, bool with_counts) {
+wire::Response Service::poll_records(const std::string& id, bool with_counts) {
     {
         const std::lock_guard lock(reads_mutex_);
-        if (!poll_reads_.take(Clock::now())) return unavailable("too many questions at once");
+        if (!poll_reads_.take(Clock::now())) return wire::unavailable("too many questions at once");
     }
     return from_records(id, with_counts);
 }
 
 // Of a job that this controller holds open but may tell nothing of: its first or its final record
 // is under way, or the lease is gone.
-Response Service::known_by_records(const std::string& id, bool with_counts) {
+wire::Response Service::known_by_records(const std::string& id, bool with_counts) {
     auto response = poll_records(id, with_counts);
-    return response.status == 404 ? unavailable("the job is being recorded") : response;
+    return response.status == 404 ? wire::unavailable("the job is being recorded") : response;
 }
 
-Response Service::from_records(const std::string& id, bool with_counts) {
+wire::Response Service::from_records(const std::string& id, bool with_counts) {
     const auto asked = Clock::now();
     auto response = read_records(id, with_counts);
     return aged(response, asked) ? read_records(id, with_counts) : response;
@@ -236,32 +241,33 @@
 
 // The records have the last word. The open record is read first: a job that ends between the two
 // reads is then found by the second.
-Response Service::read_records(const std::string& id, bool with_counts) {
-    const auto open = store_.get(keys::job(id));
-    if (open.outcome == StoreStatus::ok) {
+wire::Response Service::read_records(const std::string& id, bool with_counts) {
+    const auto open = store_.get(state::keys::job(id));
+    if (open.outcome == state::StoreStatus::ok) {
         const auto record = wire::parse_job_record(open.entry.value);
-        if (!record) return unavailable("the record cannot be read");
+        if (!record) return wire::unavailable("the record cannot be read");
         core::JobStatus status;
         for (const auto& [first, last] : record->done) status.done += last - first + 1;
         return {200, 0, wire::status_body(id, status, with_counts)};
     }
-    if (open.outcome != StoreStatus::absent)
-        return unavailable("the state service does not answer");
-    const auto over = store_.get(keys::over(id));
-    if (over.outcome == StoreStatus::ok) {
+    if (open.outcome != state::StoreStatus::absent)
+        return wire::unavailable("the state service does not answer");
+    const auto over = store_.get(state::keys::over(id));
+    if (over.outcome == state::StoreStatus::ok) {
         const auto terminal_state = wire::parse_terminal_record(over.entry.value);
-        if (!terminal_state) return unavailable("the record cannot be read");
+        if (!terminal_state) return wire::unavailable("the record cannot be read");
         terminal_states_.put(id, *terminal_state);
         return {200, 0, wire::status_body(id, terminal_status(*terminal_state), with_counts)};
     }
-    if (over.outcome != StoreStatus::absent)
-        return unavailable("the state service does not answer");
+    if (over.outcome != state::StoreStatus::absent)
+        return wire::unavailable("the state service does not answer");
     return {404, 0, wire::error_body("no such job")};
 }
 
-Response Service::accept_elsewhere(const core::JobSpec& spec) {
+wire::Response Service::accept_elsewhere(const core::JobSpec& spec) {
     const auto verdict = core::judge(spec, settings_.teams, leader_state_.types());
-    if (verdict == core::Verdict::not_ready) return unavailable("machine types are not known yet");
+    if (verdict == core::Verdict::not_ready)
+        return wire::unavailable("machine types are not known yet");
     if (verdict == core::Verdict::never_fits) {
         // It may have been accepted before teams or types changed; accepted stays accepted.
         auto response = from_records(spec.id, false);
@@ -272,26 +278,26 @@
     record.spec = spec;
     record.submitted = std::chrono::system_clock::now();
     const auto answer = job_admission_.accept(std::move(record));
-    if (answer.outcome == JobAdmission::Result::failed)
-        return unavailable("the job could not be recorded in time");
-    const bool accepted = answer.outcome == JobAdmission::Result::accepted;
+    if (answer.outcome == state::JobAdmission::Result::failed)
+        return wire::unavailable("the job could not be recorded in time");
+    const bool accepted = answer.outcome == state::JobAdmission::Result::accepted;
     if (accepted && Clock::now() - answer.sent <= accepted_within)
         return {201, 0, wire::status_body(spec.id, core::JobStatus{}, false)};
     // Guard against went_back: with the transaction's answer held up for a second the 201 "queued"
     // left after others had told the job's end.
     auto response = from_records(spec.id, false);
-    if (response.status == 404) return unavailable("the record is changing");
+    if (response.status == 404) return wire::unavailable("the record is changing");
     if (accepted && response.status == 200) response.status = 201;
     return response;
 }
 
-Response Service::submit(const std::string& body) {
+wire::Response Service::submit(const std::string& body) {
     const auto parsed = wire::parse_job(body);
     if (!parsed.job) return {400, 0, wire::error_body(parsed.error)};
     const auto& id = parsed.job->id;
     if (auto response = from_terminal_cache(id, false)) return *response;
     if (!elector_.status().leading) return accept_elsewhere(*parsed.job);
-    if (!elector_.lease_valid()) return unavailable("the state service does not answer", 2);
+    if (!elector_.lease_valid()) return wire::unavailable("the state service does not answer", 2);
 
     std::unique_lock lock(leader_state_.mutex);
     if (!leader_state_.controller) {
@@ -300,9 +306,10 @@
     }
     // Guard against overwriting what another version may be able to read.
     if (leader_state_.controller->quarantined(id))
-        return unavailable("the record cannot be read", 5);
+        return wire::unavailable("the record cannot be read", 5);
     const auto verdict = leader_state_.controller->check(*parsed.job);
-    if (verdict == core::Verdict::not_ready) return unavailable("machine types are not known yet");
+    if (verdict == core::Verdict::not_ready)
+        return wire::unavailable("machine types are not known yet");
     if (verdict == core::Verdict::never_fits && !leader_state_.controller->knows(id)) {
         lock.unlock();
         // It may have been accepted before teams or types changed; accepted stays accepted.
@@ -327,13 +334,15 @@
     return known_by_records(id, false);
 }
 
-Response Service::status(const std::string& id, RequestOrigin from) {
+wire::Response Service::status(const std::string& id, agents::RequestOrigin from) {
     if (!wire::valid_job_id(id)) return {404, 0, wire::error_body("no such job")};
     if (auto response = from_terminal_cache(id, true)) return *response;
     if (!elector_.status().leading) {
-        if (from == RequestOrigin::peer) return unavailable("another controller acts");
+        if (from == agents::RequestOrigin::peer)
+            return wire::unavailable("another controller acts");
         const auto asked = Clock::now();
-        auto response = forward_to_leader(wire::peer::Op::status, id, {}, elector_, peers_);
+        auto response =
+            leadership::forward_to_leader(wire::peer::Op::status, id, {}, elector_, peers_);
         if (response && response->status != 503 && !aged(*response, asked)) {
             // Final for good: the next to ask here needs nobody else.
             if (const auto terminal_state = wire::terminal_state_in_status(response->body))
@@ -357,18 +366,20 @@
     return known ? known_by_records(id, true) : poll_records(id, true);
 }
 
-Response Service::cancel(const std::string& id, RequestOrigin from) {
+wire::Response Service::cancel(const std::string& id, agents::RequestOrigin from) {
     if (!wire::valid_job_id(id)) return {404, 0, wire::error_body("no such job")};
     if (auto response = from_terminal_cache(id, false)) return *response;
     if (!elector_.status().leading) {
-        if (from == RequestOrigin::peer) return unavailable("another controller acts");
-        if (auto response = forward_to_leader(wire::peer::Op::cancel, id, {}, elector_, peers_))
+        if (from == agents::RequestOrigin::peer)
+            return wire::unavailable("another controller acts");
+        if (auto response =
+                leadership::forward_to_leader(wire::peer::Op::cancel, id, {}, elector_, peers_))
             return *response;
-        return unavailable("no controller acts");
+        return wire::unavailable("no controller acts");
     }
-    if (!elector_.lease_valid()) return unavailable("the state service does not answer", 2);
+    if (!elector_.lease_valid()) return wire::unavailable("the state service does not answer", 2);
     std::unique_lock lock(leader_state_.mutex);
-    if (!leader_state_.controller) return unavailable("taking over");
+    if (!leader_state_.controller) return wire::unavailable("taking over");
     const auto term = leader_state_.controller->term();
     const bool known = leader_state_.controller->knows(id);
     lock.unlock();
@@ -376,18 +387,18 @@
         auto response = from_records(id, false);
         if (response.status != 200 || wire::terminal_state_in_status(response.body))
             return response;
-        if (!adopt_job(id, term)) return unavailable("the job is not loaded");
+        if (!adopt_job(id, term)) return wire::unavailable("the job is not loaded");
     }
     if (!replication_.replicate_cancellation(id, term))
-        return unavailable("the other controllers cannot be told");
+        return wire::unavailable("the other controllers cannot be told");
     lock.lock();
     if (!leader_state_.controller || leader_state_.controller->term() != term)
-        return unavailable("taking over");
+        return wire::unavailable("taking over");
     // Guard against ran_cancelled: a former controller that hears neither the state service nor
     // this one renewed the leases of its workers through an outage, and nobody was left to end
     // them. With enough peers that know who acts it finds none to vouch for it.
     if (leader_state_.controller->in_doubt(id) && !replication_.known_to_enough())
-        return unavailable("the other controllers are being told who acts");
+        return wire::unavailable("the other controllers are being told who acts");
     leader_state_.controller->cancel(id, Clock::now());
     leader_state_.want_place();  // its stops go out at once
     wait_recorded(lock, [&] {
@@ -401,28 +412,29 @@
     // Its write may have been carried out without an answer.
     if (auto response = poll_records(id, false); wire::terminal_state_in_status(response.body))
         return response;
-    return unavailable("the cancellation could not be recorded in time");
+    return wire::unavailable("the cancellation could not be recorded in time");
 }
 
-Response Service::answer_cancellation_snapshot(const std::string& peer) {
+wire::Response Service::answer_cancellation_snapshot(const std::string& peer) {
     if (!elector_.status().leading) return replication_.follower_snapshot();
     const std::lock_guard lock(leader_state_.mutex);
     if (!leader_state_.controller) return {503, 0, {}};
-    return replication_.leader_snapshot(peer, cancelled_jobs(*leader_state_.controller));
+    return replication_.leader_snapshot(peer,
+                                        leadership::cancelled_jobs(*leader_state_.controller));
 }
 
 wire::peer::Answer Service::answer_peer(const wire::peer::Request& request) {
     peers_.was_called();
-    Response response;
+    wire::Response response;
     switch (request.op) {
         case wire::peer::Op::status:
-            response = status(request.id, RequestOrigin::peer);
+            response = status(request.id, agents::RequestOrigin::peer);
             break;
         case wire::peer::Op::cancel:
-            response = cancel(request.id, RequestOrigin::peer);
+            response = cancel(request.id, agents::RequestOrigin::peer);
             break;
         case wire::peer::Op::heartbeat:
-            response = heartbeats_.heartbeat(request.body, RequestOrigin::peer);
+            response = heartbeats_.heartbeat(request.body, agents::RequestOrigin::peer);
             break;
         case wire::peer::Op::leader_announcement:
             if (request.term >= elector_.status().term) leader_heard_at_ = Clock::now();
@@ -530,10 +542,10 @@
 
 bool Service::run() {
     io::HttpServerLimits limits;
-    limits.most_threads = most_connections(settings_, own_);
-    limits.most_waiting = most_waiting(settings_, limits.most_threads);
+    limits.most_threads = config::most_connections(settings_, own_);
+    limits.most_waiting = config::most_waiting(settings_, limits.most_threads);
     io::HttpServer http(limits);
-    const auto send = [](const Response& answer, httplib::Response& response) {
+    const auto send = [](const wire::Response& answer, httplib::Response& response) {
         response.status = answer.status;
         if (answer.retry_after > 0)
             response.set_header("Retry-After", std::to_string(answer.retry_after));
@@ -546,16 +558,16 @@
         send(submit(request.body), response);
     });
     http.Get(R"(/work/([^/]*))", [&](const httplib::Request& request, httplib::Response& response) {
-        send(status(request.matches[1], RequestOrigin::client), response);
+        send(status(request.matches[1], agents::RequestOrigin::client), response);
     });
     http.Post(R"(/work/([^/]*)/cancel)",
               [&](const httplib::Request& request, httplib::Response& response) {
-                  send(cancel(request.matches[1], RequestOrigin::client), response);
-              });
-    http.Post(wire::path::heartbeat,
-              [&](const httplib::Request& request, httplib::Response& response) {
-                  send(heartbeats_.heartbeat(request.body, RequestOrigin::client), response);
+                  send(cancel(request.matches[1], agents::RequestOrigin::client), response);
               });
+    http.Post(
+        wire::path::heartbeat, [&](const httplib::Request& request, httplib::Response& response) {
+            send(heartbeats_.heartbeat(request.body, agents::RequestOrigin::client), response);
+        });
     http.set_error_handler([](const httplib::Request& request, httplib::Response& response) {
         if (!response.body.empty()) return;
         // The protocol has one word for bodies that are too large or broken: malformed.
@@ -599,4 +611,4 @@
     std::_Exit(1);
 }
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::daemon
--- a/src/app/stop_signal.cpp
+++ b/src/daemon/stop_signal.cpp
@@ -1,11 +1,11 @@
-#include "app/stop_signal.hpp"
+#include "daemon/stop_signal.hpp"
 
 #include <signal.h>
 #include <unistd.h>
 
 #include <atomic>
 
-namespace bendspindle::app {
+namespace bendspindle::daemon {
 
 namespace {
 
@@ -47,4 +47,4 @@
     return asked.load();
 }
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::daemon
--- a/src/app/stop_signal.hpp
+++ b/src/daemon/stop_signal.hpp
@@ -2,11 +2,11 @@
 // process at once.
 #pragma once
 
-namespace bendspindle::app {
+namespace bendspindle::daemon {
 
 // Before any thread is made: from then on the signals go to the thread that takes them.
 void catch_stop_signals();
 void take_stop_signals_here();
 bool stop_asked();
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::daemon
--- a/src/admission/sharing.cpp
+++ b/src/fair_share/makespan_stretch.cpp
@@ -1,8 +1,8 @@
-#include "admission/sharing.hpp"
+#include "fair_share/makespan_stretch.hpp"
 
 #include <algorithm>
 
-namespace bendspindle::admission {
+namespace bendspindle::fair_share {
 
 namespace {
 
@@ -42,4 +42,4 @@
     return out;
 }
 
-}  // namespace bendspindle::admission
+}  // namespace bendspindle::fair_share
--- a/src/admission/sharing.hpp
+++ b/src/fair_share/makespan_stretch.hpp
@@ -11,7 +11,7 @@
 #include <map>
 #include <vector>
 
-namespace bendspindle::admission {
+namespace bendspindle::fair_share {
 
 // Shares are parts of the machines that a pipeline may use, by the resource of which it asks for
 // the most: 1 is all of them.
@@ -24,4 +24,4 @@
 std::vector<double> stretch(const std::vector<Asking>& pipelines,
                             const std::map<int, double>& used);
 
-}  // namespace bendspindle::admission
+}  // namespace bendspindle::fair_share
--- a/src/admission/floors.cpp
+++ b/src/fair_share/minimum_share.cpp
@@ -1,9 +1,9 @@
-#include "admission/floors.hpp"
+#include "fair_share/minimum_share.hpp"
 
 #include <algorithm>
 #include <string_view>
 
-namespace bendspindle::admission {
+namespace bendspindle::fair_share {
 
 namespace {
 
@@ -98,4 +98,4 @@
     return out;
 }
 
-}  // namespace bendspindle::admission
+}  // namespace bendspindle::fair_share
--- a/src/admission/floors.hpp
+++ b/src/fair_share/minimum_share.hpp
@@ -18,7 +18,7 @@
 #include <string_view>
 #include <vector>
 
-namespace bendspindle::admission {
+namespace bendspindle::fair_share {
 
 struct FloorSettings {
     // Part of the machines that all floors together may claim; 0: no floors.
@@ -53,4 +53,4 @@
 // `oldest_first`: in the order in which their floors are to be filled.
 Floored floors(const std::vector<Holding>& oldest_first, const FloorSettings& settings);
 
-}  // namespace bendspindle::admission
+}  // namespace bendspindle::fair_share
--- a/src/app/clock.hpp
+++ b/src/io/clock.hpp
@@ -3,9 +3,9 @@
 
 #include <functional>
 
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::io {
 
 using ClockFunction = std::function<core::TimePoint()>;
 
@@ -13,4 +13,4 @@
     return [] { return core::TimePoint::clock::now(); };
 }
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::io
--- a/src/app/renewals.cpp
+++ b/src/leadership/agent_lease_policy.cpp
@@ -1,9 +1,9 @@
-#include "app/renewals.hpp"
+#include "leadership/agent_lease_policy.hpp"
 
 #include <algorithm>
 #include <functional>
 
-namespace bendspindle::app {
+namespace bendspindle::leadership {
 
 namespace {
 
@@ -133,4 +133,4 @@
     return out;
 }
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::leadership
--- a/src/app/renewals.hpp
+++ b/src/leadership/agent_lease_policy.hpp
@@ -21,10 +21,10 @@
 #include <string>
 #include <vector>
 
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 #include "wire/peer.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::leadership {
 
 // How long after it last knew all confirmed cancellations a controller may renew leases.
 core::Seconds renewal_bound(const core::AgentTimings& workers);
@@ -109,4 +109,4 @@
     Jobs gathered_;  // of peers' memory: not told on, or it would go round for ever
 };
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::leadership
--- a/src/app/cancellation_replication.cpp
+++ b/src/leadership/cancellation_replication.cpp
@@ -1,10 +1,10 @@
-#include "app/cancellation_replication.hpp"
+#include "leadership/cancellation_replication.hpp"
 
 #include <chrono>
 #include <set>
 #include <utility>
 
-namespace bendspindle::app {
+namespace bendspindle::leadership {
 
 namespace {
 
@@ -24,7 +24,7 @@
 CancellationReplication::CancellationReplication(std::string name,
                                                  const core::AgentTimings& workers,
                                                  Leadership& leadership, Peers& peers,
-                                                 ClockFunction clock)
+                                                 io::ClockFunction clock)
     : name_(std::move(name)),
       leadership_(leadership),
       peers_(peers),
@@ -100,7 +100,8 @@
     return proof_.known_to_enough();
 }
 
-Response CancellationReplication::record_cancellation(const std::string& job, std::uint64_t term) {
+wire::Response CancellationReplication::record_cancellation(const std::string& job,
+                                                            std::uint64_t term) {
     // What nobody has read the view for, or who knows better, keeps no promise.
     if (!leadership_.knows_leadership_record()) return {knows_nothing, 0, {}};
     if (term < leadership_.status().term) return {does_not_act, 0, {}};
@@ -109,15 +110,15 @@
     return {ok, 0, {}};
 }
 
-Response CancellationReplication::leader_snapshot(const std::string& peer,
-                                                  const CancelledJobs& own) {
+wire::Response CancellationReplication::leader_snapshot(const std::string& peer,
+                                                        const CancelledJobs& own) {
     const auto word = own_word(own);
     const std::lock_guard lock(mutex_);
     proof_.gave_word(peer, clock_());
     return {ok, 0, wire::peer::pack(word)};
 }
 
-Response CancellationReplication::follower_snapshot() const {
+wire::Response CancellationReplication::follower_snapshot() const {
     if (!leadership_.knows_leadership_record()) return {knows_nothing, 0, {}};
     const std::lock_guard lock(mutex_);
     return {does_not_act, 0, wire::peer::pack(cancellation_replica_.word(clock_()))};
@@ -213,4 +214,4 @@
     }
 }
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::leadership
--- a/src/app/cancellation_replication.hpp
+++ b/src/leadership/cancellation_replication.hpp
@@ -18,14 +18,14 @@
 #include <string>
 #include <vector>
 
-#include "app/clock.hpp"
-#include "app/peers.hpp"
-#include "app/renewals.hpp"
-#include "app/reply.hpp"
-#include "app/role.hpp"
 #include "core/controller.hpp"
+#include "io/clock.hpp"
+#include "leadership/agent_lease_policy.hpp"
+#include "leadership/leadership.hpp"
+#include "leadership/peers.hpp"
+#include "wire/response.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::leadership {
 
 // What the leader's records in memory say.
 struct CancelledJobs {
@@ -40,7 +40,7 @@
     // `name`: this controller's. `role` and `peers` outlive this.
     CancellationReplication(std::string name, const core::AgentTimings& workers,
                             Leadership& leadership, Peers& peers,
-                            ClockFunction clock = steady_clock());
+                            io::ClockFunction clock = io::steady_clock());
 
     // This controller has become the leader.
     void on_elected();
@@ -64,9 +64,9 @@
 
     // What peers are answered: to the leader that tells a cancelled job, and to one that asks what
     // is cancelled, by the leader (with what it has in memory) and by a follower.
-    Response record_cancellation(const std::string& job, std::uint64_t term);
-    Response leader_snapshot(const std::string& peer, const CancelledJobs& own);
-    Response follower_snapshot() const;
+    wire::Response record_cancellation(const std::string& job, std::uint64_t term);
+    wire::Response leader_snapshot(const std::string& peer, const CancelledJobs& own);
+    wire::Response follower_snapshot() const;
 
   private:
     using Answered =
@@ -83,10 +83,10 @@
     const std::string name_;
     Leadership& leadership_;
     Peers& peers_;
-    const ClockFunction clock_;
+    const io::ClockFunction clock_;
     mutable std::mutex mutex_;  // taken while holding the office's, never the other way round
     LeadershipProof proof_;
     CancellationReplica cancellation_replica_;
 };
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::leadership
--- a/src/app/succession.cpp
+++ b/src/leadership/election.cpp
@@ -1,6 +1,6 @@
-#include "app/succession.hpp"
+#include "leadership/election.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::leadership {
 
 ElectionDecision decide_election(const std::optional<LeaderKey>& key,
                                  const std::optional<wire::LeadershipRecord>& view,
@@ -23,4 +23,4 @@
                                                                     : 0;
 }
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::leadership
--- a/src/app/succession.hpp
+++ b/src/leadership/election.hpp
@@ -13,7 +13,7 @@
 
 #include "wire/records.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::leadership {
 
 // The leader's key as it was read.
 struct LeaderKey {
@@ -48,4 +48,4 @@
 std::uint32_t next_consecutive_restarts(const std::optional<wire::LeadershipRecord>& view,
                                         const Candidate& self);
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::leadership
--- a/src/app/membership.cpp
+++ b/src/leadership/leader_elector.cpp
@@ -1,4 +1,4 @@
-#include "app/membership.hpp"
+#include "leadership/leader_elector.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -7,15 +7,15 @@
 #include <thread>
 #include <utility>
 
-namespace bendspindle::app {
+#include "state/keys.hpp"
+
+namespace bendspindle::leadership {
 
 namespace {
 
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-constexpr const char* leader_key = "steward";
-constexpr const char* leadership_record_key = "view";
 constexpr milliseconds check_every{500};
 // Without news; the watch usually tells sooner.
 constexpr milliseconds look_every{1000};
@@ -30,8 +30,8 @@
 
 }  // namespace
 
-LeaderElector::LeaderElector(KeyValueStore& store, std::string name, core::Seconds lease,
-                             Events events, ClockFunction clock)
+LeaderElector::LeaderElector(state::KeyValueStore& store, std::string name, core::Seconds lease,
+                             Events events, io::ClockFunction clock)
     : store_(store),
       name_(std::move(name)),
       lease_time_(lease),
@@ -118,17 +118,18 @@
     if (!lease) {
         const auto granted = store_.grant_lease(life);
         if (!granted) return;
-        const auto put = store_.compare_and_swap(
-            {}, {{"controller/" + name_, wire::Value{{"incarnation", incarnation_}}, *granted}});
-        if (put.outcome != StoreStatus::ok) return;
+        const auto put =
+            store_.compare_and_swap({}, {{state::keys::controller(name_),
+                                          wire::Value{{"incarnation", incarnation_}}, *granted}});
+        if (put.outcome != state::StoreStatus::ok) return;
         lease = granted;
     } else {
         const auto outcome = store_.keep_alive(*lease);
-        if (outcome == StoreStatus::absent) {
+        if (outcome == state::StoreStatus::absent) {
             step_down();
             return;
         }
-        if (outcome != StoreStatus::ok) return;
+        if (outcome != state::StoreStatus::ok) return;
         // Guard against a former life that goes on: its lease may live while another life of its
         // name has put its own key over the one that the lease was for. Without this it would tell
         // users what it knew for as long as it renews.
@@ -152,29 +153,30 @@
 }
 
 std::optional<bool> LeaderElector::holds_key(std::uint64_t mod_revision) {
-    const auto key = store_.get(leader_key);
-    if (key.outcome == StoreStatus::absent) return false;
-    if (key.outcome != StoreStatus::ok) return std::nullopt;
+    const auto key = store_.get(state::keys::leader);
+    if (key.outcome == state::StoreStatus::absent) return false;
+    if (key.outcome != state::StoreStatus::ok) return std::nullopt;
     return key.entry.mod_revision == mod_revision;
 }
 
 void LeaderElector::look() {
     const auto before = status();
     if (before.leading || !lease_valid()) return;
-    const auto leader = store_.get(leader_key);
+    const auto leader = store_.get(state::keys::leader);
     std::optional<LeaderKey> key;
-    if (leader.outcome == StoreStatus::ok) {
+    if (leader.outcome == state::StoreStatus::ok) {
         const auto& entry = leader.entry;
         key = LeaderKey{entry.value.value("name", std::string()), entry.lease, entry.mod_revision};
         const std::lock_guard lock(mutex_);
         if (entry.mod_revision == leader_key_seen_) return;
-    } else if (leader.outcome != StoreStatus::absent) {
+    } else if (leader.outcome != state::StoreStatus::absent) {
         return;
     }
-    const auto view = store_.get(leadership_record_key);
-    if (view.outcome != StoreStatus::ok && view.outcome != StoreStatus::absent) return;
+    const auto view = store_.get(state::keys::leadership_record);
+    if (view.outcome != state::StoreStatus::ok && view.outcome != state::StoreStatus::absent)
+        return;
     std::optional<wire::LeadershipRecord> parsed;
-    if (view.outcome == StoreStatus::ok) {
+    if (view.outcome == state::StoreStatus::ok) {
         parsed = wire::parse_leadership_record(view.entry.value);
         if (!parsed) {
             spdlog::error("the view in the state service cannot be read; not acting");
@@ -231,22 +233,23 @@
     // Under the new lease in the same step: the key is never gone, so nobody else takes the role
     // without knowing of the former life that may not be over.
     const auto cas_result = store_.compare_and_swap(
-        {{leader_key, former ? former->mod_revision : 0},
-         {leadership_record_key, leadership_record_revision}},
-        {{leader_key, wire::Value{{"name", name_}, {"incarnation", incarnation_}}, self.lease},
-         {leadership_record_key, wire::leadership_record(next), std::nullopt}});
+        {{state::keys::leader, former ? former->mod_revision : 0},
+         {state::keys::leadership_record, leadership_record_revision}},
+        {{state::keys::leader, wire::Value{{"name", name_}, {"incarnation", incarnation_}},
+          self.lease},
+         {state::keys::leadership_record, wire::leadership_record(next), std::nullopt}});
     // An unanswered transaction may have made this controller the leader without its knowing, or
     // may still do so. Once its lease is ended for certain neither can last; else the lease runs
     // out.
-    if (cas_result.outcome == StoreStatus::unknown) {
+    if (cas_result.outcome == state::StoreStatus::unknown) {
         step_down();
         const auto ended = store_.revoke_lease(self.lease);
-        const bool certain = ended == StoreStatus::ok || ended == StoreStatus::absent;
+        const bool certain = ended == state::StoreStatus::ok || ended == state::StoreStatus::absent;
         const std::lock_guard lock(mutex_);
         if (!certain) next_renewal_ = clock_() + duration_cast<milliseconds>(lease_time_);
         return;
     }
-    if (cas_result.outcome != StoreStatus::ok) return;
+    if (cas_result.outcome != state::StoreStatus::ok) return;
     {
         const std::lock_guard lock(mutex_);
         // The lease that holds the key has been given up meanwhile.
@@ -273,7 +276,7 @@
 void LeaderElector::end_former_lease() {
     if (!former_lease_) return;
     const auto ended = store_.revoke_lease(*former_lease_);
-    if (ended != StoreStatus::ok && ended != StoreStatus::absent) return;
+    if (ended != state::StoreStatus::ok && ended != state::StoreStatus::absent) return;
     former_lease_.reset();
     const std::lock_guard lock(mutex_);
     terminal_states_allowed_from_ = clock_() + duration_cast<milliseconds>(lease_time_);
@@ -290,11 +293,12 @@
     auto settled = view_;
     settled.consecutive_restarts = 0;
     const auto cas_result = store_.compare_and_swap(
-        {{leader_key, now.leader_key_revision},
-         {leadership_record_key, leadership_record_revision_}},
-        {{leadership_record_key, wire::leadership_record(settled), std::nullopt}});
+        {{state::keys::leader, now.leader_key_revision},
+         {state::keys::leadership_record, leadership_record_revision_}},
+        {{state::keys::leadership_record, wire::leadership_record(settled), std::nullopt}});
     // A conflict: this very write went through unnoticed, or another controller acts.
-    if (cas_result.outcome == StoreStatus::ok || cas_result.outcome == StoreStatus::conflict)
+    if (cas_result.outcome == state::StoreStatus::ok ||
+        cas_result.outcome == state::StoreStatus::conflict)
         view_ = settled;
 }
 
@@ -340,16 +344,16 @@
             std::this_thread::sleep_for(look_every);
             continue;
         }
-        const auto news =
-            since == 0 ? store_.list(leader_key) : store_.watch(leader_key, since, watch_wait);
-        if (news.outcome == StoreStatus::ok) since = news.revision;
-        if (news.outcome == StoreStatus::too_old) since = 0;
+        const auto news = since == 0 ? store_.list(state::keys::leader)
+                                     : store_.watch(state::keys::leader, since, watch_wait);
+        if (news.outcome == state::StoreStatus::ok) since = news.revision;
+        if (news.outcome == state::StoreStatus::too_old) since = 0;
         {
             const std::lock_guard lock(mutex_);
             look_now_ = true;
             wake_.notify_one();
         }
-        if (news.outcome != StoreStatus::ok) std::this_thread::sleep_for(watch_pause);
+        if (news.outcome != state::StoreStatus::ok) std::this_thread::sleep_for(watch_pause);
     }
 }
 
@@ -377,4 +381,4 @@
     if (lease) store_.revoke_lease(*lease);
 }
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::leadership
--- a/src/app/membership.hpp
+++ b/src/leadership/leader_elector.hpp
@@ -9,13 +9,13 @@
 #include <optional>
 #include <string>
 
-#include "app/clock.hpp"
-#include "app/role.hpp"
-#include "app/state_store.hpp"
-#include "app/succession.hpp"
-#include "core/types.hpp"
+#include "core/model/types.hpp"
+#include "io/clock.hpp"
+#include "leadership/election.hpp"
+#include "leadership/leadership.hpp"
+#include "state/key_value_store.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::leadership {
 
 class LeaderElector : public Leadership {
   public:
@@ -25,8 +25,8 @@
         std::function<void()> on_deposed;
     };
 
-    LeaderElector(KeyValueStore& store, std::string name, core::Seconds lease, Events events,
-                  ClockFunction clock = steady_clock());
+    LeaderElector(state::KeyValueStore& store, std::string name, core::Seconds lease, Events events,
+                  io::ClockFunction clock = io::steady_clock());
     // Each runs until the process ends: one keeps the lease and looks who acts, the other waits
     // for news of the leader so that the first looks at once.
     void run();
@@ -65,11 +65,11 @@
     bool yielding() const;
     void let_others_go_first();
 
-    KeyValueStore& store_;
+    state::KeyValueStore& store_;
     const std::string name_;
     const core::Seconds lease_time_;
     const Events events_;
-    const ClockFunction clock_;
+    const io::ClockFunction clock_;
     mutable std::mutex mutex_;
     LeadershipStatus status_;
     std::optional<std::uint64_t> lease_;
@@ -91,4 +91,4 @@
     bool progress_ = false;
 };
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::leadership
--- a/src/app/role.hpp
+++ b/src/leadership/leadership.hpp
@@ -5,9 +5,9 @@
 #include <cstdint>
 #include <string>
 
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::leadership {
 
 struct LeadershipStatus {
     std::uint64_t term = 0;  // of the last view known; 0: none
@@ -33,4 +33,4 @@
     virtual void learn_leader(std::uint64_t term, const std::string& leader) = 0;
 };
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::leadership
--- a/src/app/peers.cpp
+++ b/src/leadership/peers.cpp
@@ -1,4 +1,4 @@
-#include "app/peers.hpp"
+#include "leadership/peers.hpp"
 
 #include <algorithm>
 #include <memory>
@@ -6,7 +6,7 @@
 
 #include "io/peer_link.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::leadership {
 
 namespace {
 
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-Peers::Peers(std::vector<std::string> names, Link link, ClockFunction clock)
+Peers::Peers(std::vector<std::string> names, Link link, io::ClockFunction clock)
     : names_(std::move(names)), link_(std::move(link)), clock_(std::move(clock)) {}
 
 bool Peers::knows(const std::string& name) const {
@@ -51,18 +51,18 @@
     resting_until_[name] = clock_() + rest_after_failure;
 }
 
-std::optional<Response> forward_to_leader(wire::peer::Op op, const std::string& id,
-                                          const std::string& body, Leadership& leadership,
-                                          Peers& peers) {
+std::optional<wire::Response> forward_to_leader(wire::peer::Op op, const std::string& id,
+                                                const std::string& body, Leadership& leadership,
+                                                Peers& peers) {
     const auto status = leadership.status();
     if (!peers.knows(status.leader)) return std::nullopt;
     const auto answer = peers.call_unless_resting(status.leader, {op, status.term, id, body});
     if (!answer) return std::nullopt;
     if (answer->term > status.term) leadership.observe_newer_term(answer->term);
-    return Response{answer->status, answer->retry_after, answer->body};
+    return wire::Response{answer->status, answer->retry_after, answer->body};
 }
 
-std::vector<std::string> peer_names(const Settings& settings) {
+std::vector<std::string> peer_names(const config::Settings& settings) {
     std::vector<std::string> out;
     for (const auto& peer : settings.peers) out.push_back(peer.name);
     std::sort(out.begin(), out.end());
@@ -70,7 +70,7 @@
     return out;
 }
 
-Peers::Link socket_link(const Settings& settings) {
+Peers::Link socket_link(const config::Settings& settings) {
     using Clients = std::map<std::string, io::PeerClient>;
     const auto clients = std::make_shared<Clients>();
     for (const auto& peer : settings.peers)
@@ -80,4 +80,4 @@
     };
 }
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::leadership
--- a/src/app/peers.hpp
+++ b/src/leadership/peers.hpp
@@ -11,13 +11,13 @@
 #include <string>
 #include <vector>
 
-#include "app/clock.hpp"
-#include "app/reply.hpp"
-#include "app/role.hpp"
-#include "app/settings.hpp"
+#include "config/settings.hpp"
+#include "io/clock.hpp"
+#include "leadership/leadership.hpp"
 #include "wire/peer.hpp"
+#include "wire/response.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::leadership {
 
 class Peers {
   public:
@@ -25,7 +25,7 @@
     using Link = std::function<std::optional<wire::peer::Answer>(const std::string& name,
                                                                  const wire::peer::Request&)>;
 
-    Peers(std::vector<std::string> names, Link link, ClockFunction clock = steady_clock());
+    Peers(std::vector<std::string> names, Link link, io::ClockFunction clock = io::steady_clock());
 
     // In order.
     const std::vector<std::string>& names() const { return names_; }
@@ -48,20 +48,20 @@
 
     const std::vector<std::string> names_;
     const Link link_;
-    const ClockFunction clock_;
+    const io::ClockFunction clock_;
     std::atomic<core::TimePoint> last_contact_{core::TimePoint{}};
     std::mutex mutex_;
     std::map<std::string, core::TimePoint> resting_until_;
 };
 
 // A user's or worker's request handed on to the leader, if it is known and answers.
-std::optional<Response> forward_to_leader(wire::peer::Op op, const std::string& id,
-                                          const std::string& body, Leadership& leadership,
-                                          Peers& peers);
+std::optional<wire::Response> forward_to_leader(wire::peer::Op op, const std::string& id,
+                                                const std::string& body, Leadership& leadership,
+                                                Peers& peers);
 
 // The names of the peers in the settings, in order.
-std::vector<std::string> peer_names(const Settings& settings);
+std::vector<std::string> peer_names(const config::Settings& settings);
 // Calls over sockets, to the addresses in the settings.
-Peers::Link socket_link(const Settings& settings);
+Peers::Link socket_link(const config::Settings& settings);
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::leadership
--- a/src/app/takeover_log.cpp
+++ b/src/state/failover_progress.cpp
@@ -1,8 +1,8 @@
-#include "app/takeover_log.hpp"
+#include "state/failover_progress.hpp"
 
 #include <spdlog/spdlog.h>
 
-namespace bendspindle::app {
+namespace bendspindle::state {
 
 namespace {
 
@@ -42,4 +42,4 @@
     return some_answered_ && now - leading_since_ >= long_enough;
 }
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::state
--- a/src/app/takeover_log.hpp
+++ b/src/state/failover_progress.hpp
@@ -6,7 +6,7 @@
 
 #include "core/controller.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::state {
 
 class FailoverProgress {
   public:
@@ -33,4 +33,4 @@
     bool start_told_ = false;
 };
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::state
--- a/src/app/acceptor.cpp
+++ b/src/state/job_admission.cpp
@@ -1,13 +1,13 @@
-#include "app/acceptor.hpp"
+#include "state/job_admission.hpp"
 
 #include <algorithm>
 #include <random>
 #include <thread>
 
-#include "app/recorder.hpp"
+#include "state/state_writer.hpp"
 #include "wire/records.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::state {
 
 namespace {
 
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-JobAdmission::JobAdmission(KeyValueStore& store, StateLimits limits)
+JobAdmission::JobAdmission(KeyValueStore& store, config::StateLimits limits)
     : store_(store), limits_(limits) {}
 
 JobAdmission::Answer JobAdmission::accept(core::JobRecord record) {
@@ -116,4 +116,4 @@
     }
 }
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::state
--- a/src/app/acceptor.hpp
+++ b/src/state/job_admission.hpp
@@ -9,11 +9,11 @@
 #include <memory>
 #include <mutex>
 
-#include "app/settings.hpp"
-#include "app/state_store.hpp"
-#include "core/job.hpp"
+#include "config/settings.hpp"
+#include "core/cluster/job.hpp"
+#include "state/key_value_store.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::state {
 
 class JobAdmission {
   public:
@@ -29,7 +29,7 @@
         std::chrono::steady_clock::time_point sent{};
     };
 
-    JobAdmission(KeyValueStore& store, StateLimits limits);
+    JobAdmission(KeyValueStore& store, config::StateLimits limits);
     // Runs until the process ends.
     void run();
     // Waits until the record is written, or no longer than a user may be kept waiting.
@@ -50,7 +50,7 @@
     void settle(const Batch& batch, const CasResult& cas_result, Clock::time_point sent);
 
     KeyValueStore& store_;
-    StateLimits limits_;
+    config::StateLimits limits_;
     std::mutex mutex_;
     std::condition_variable wanted_;
     std::condition_variable settled_;
@@ -58,4 +58,4 @@
     std::size_t alone_ = 0;  // so many entries are written one by one
 };
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::state
--- a/src/app/state_store.cpp
+++ b/src/state/key_value_store.cpp
@@ -1,6 +1,6 @@
-#include "app/state_store.hpp"
+#include "state/key_value_store.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::state {
 
 namespace {
 
@@ -116,4 +116,4 @@
     return status_of(client_.erase(wire::path::lease(lease)));
 }
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::state
--- a/src/app/state_store.hpp
+++ b/src/state/key_value_store.hpp
@@ -13,7 +13,7 @@
 #include "io/http_client.hpp"
 #include "wire/state_service.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::state {
 
 enum class StoreStatus : std::uint8_t {
     ok,
@@ -81,4 +81,4 @@
     std::atomic<Clock::time_point> last_success_{Clock::time_point{}};
 };
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::state
--- a/src/app/office.hpp
+++ b/src/state/leader_state.hpp
@@ -12,10 +12,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "app/takeover_log.hpp"
 #include "core/controller.hpp"
+#include "state/failover_progress.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::state {
 
 // Final states never change, so they may be kept and told by anyone. Bounded.
 class TerminalStateCache {
@@ -126,4 +126,4 @@
     }
 };
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::state
--- a/src/app/recorder.cpp
+++ b/src/state/state_writer.cpp
@@ -1,4 +1,4 @@
-#include "app/recorder.hpp"
+#include "state/state_writer.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -8,7 +8,7 @@
 
 #include "wire/records.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::state {
 
 namespace {
 
@@ -31,7 +31,7 @@
 }  // namespace
 
 StateWriter::StateWriter(LeaderState& leader_state, KeyValueStore& store,
-                         TerminalStateCache& terminal_states, StateLimits limits)
+                         TerminalStateCache& terminal_states, config::StateLimits limits)
     : leader_state_(leader_state),
       store_(store),
       terminal_states_(terminal_states),
@@ -228,4 +228,4 @@
     }
 }
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::state
--- a/src/app/recorder.hpp
+++ b/src/state/state_writer.hpp
@@ -4,31 +4,17 @@
 #include <map>
 #include <string>
 
-#include "app/membership.hpp"
-#include "app/office.hpp"
-#include "app/settings.hpp"
-#include "app/state_store.hpp"
+#include "config/settings.hpp"
+#include "state/key_value_store.hpp"
+#include "state/keys.hpp"
+#include "state/leader_state.hpp"
 
-namespace bendspindle::app {
-
-namespace keys {
-inline constexpr const char* jobs = "job/";
-inline std::string job(const std::string& id) {
-    return "job/" + id;
-}
-inline std::string over(const std::string& id) {
-    return "over/" + id;
-}
-inline std::string machine(const std::string& name) {
-    return "machine/" + name;
-}
-inline constexpr const char* leader = "steward";
-}  // namespace keys
+namespace bendspindle::state {
 
 class StateWriter {
   public:
     StateWriter(LeaderState& leader_state, KeyValueStore& store,
-                TerminalStateCache& terminal_states, StateLimits limits);
+                TerminalStateCache& terminal_states, config::StateLimits limits);
     // Runs until the process ends.
     void run();
 
@@ -51,10 +37,10 @@
     LeaderState& leader_state_;
     KeyValueStore& store_;
     TerminalStateCache& terminal_states_;
-    StateLimits limits_;
+    config::StateLimits limits_;
     std::size_t alone_ = 0;  // so many changes are written one by one
     // By id of job or name of machine, with when they are tried again.
     std::map<std::string, std::chrono::steady_clock::time_point> unwritable_;
 };
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::state
--- a/src/wire/fields.hpp
+++ b/src/wire/fields.hpp
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 #include "wire/cbor.hpp"
 
 namespace bendspindle::wire {
--- a/src/wire/job_spec.hpp
+++ b/src/wire/job_spec.hpp
@@ -3,7 +3,7 @@
 
 #include <string_view>
 
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 #include "wire/cbor.hpp"
 
 namespace bendspindle::wire {
--- a/src/wire/records.hpp
+++ b/src/wire/records.hpp
@@ -6,8 +6,8 @@
 #include <optional>
 #include <string>
 
-#include "core/job.hpp"
-#include "core/types.hpp"
+#include "core/cluster/job.hpp"
+#include "core/model/types.hpp"
 #include "wire/cbor.hpp"
 
 namespace bendspindle::wire {
--- a/src/app/reply.hpp
+++ b/src/wire/response.hpp
@@ -5,7 +5,7 @@
 
 #include "wire/users.hpp"
 
-namespace bendspindle::app {
+namespace bendspindle::wire {
 
 struct Response {
     int status = 503;
@@ -18,4 +18,4 @@
     return {503, retry_after, wire::error_body(why)};
 }
 
-}  // namespace bendspindle::app
+}  // namespace bendspindle::wire
--- a/src/wire/users.hpp
+++ b/src/wire/users.hpp
@@ -5,8 +5,8 @@
 #include <string>
 #include <string_view>
 
-#include "core/pipelines.hpp"
-#include "core/types.hpp"
+#include "core/cluster/job_table.hpp"
+#include "core/model/types.hpp"
 #include "wire/job_spec.hpp"
 
 namespace bendspindle::wire {
--- a/src/wire/workers.hpp
+++ b/src/wire/workers.hpp
@@ -7,8 +7,8 @@
 #include <string_view>
 #include <vector>
 
-#include "core/direct_calls.hpp"
-#include "core/types.hpp"
+#include "core/model/types.hpp"
+#include "core/reconciliation/direct_commands.hpp"
 
 namespace bendspindle::wire {
 
--- a/tests/days_test.cpp
+++ b/tests/days_test.cpp
@@ -7,7 +7,7 @@
 
 #include <random>
 
-#include "standin/world.hpp"
+#include "standin/simulated_cluster.hpp"
 
 namespace bendspindle {
 namespace {
--- a/tests/dsmf_test.cpp
+++ b/tests/dsmf_test.cpp
@@ -1,4 +1,4 @@
-#include "core/dsmf.hpp"
+#include "core/scheduling/dsmf.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/drawn_test.cpp
+++ b/tests/randomized_simulation_test.cpp
@@ -11,7 +11,7 @@
 #include <cstdlib>
 #include <random>
 
-#include "standin/world.hpp"
+#include "standin/simulated_cluster.hpp"
 
 namespace bendspindle {
 namespace {
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -4,7 +4,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "standin/world.hpp"
+#include "standin/simulated_cluster.hpp"
 
 namespace {
 
--- a/tests/standin/world.cpp
+++ b/tests/standin/simulated_cluster.cpp
@@ -1,4 +1,4 @@
-#include "standin/world.hpp"
+#include "standin/simulated_cluster.hpp"
 
 #include <cmath>
 #include <stdexcept>
--- a/tests/standin/worker.hpp
+++ b/tests/standin/worker.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "core/types.hpp"
+#include "core/model/types.hpp"
 
 namespace bendspindle::standin {
 
