--- a/src/core/cluster/job.cpp
+++ b/src/core/cluster/job.cpp
@@ -18,7 +18,7 @@
     phase = to;
 }
 
-std::uint32_t Job::next_idle() {
+std::uint32_t Job::find_first_idle() {
     auto& first = progress.first_idle;
     while (first < progress.phase.size() && progress.phase[first] != TaskPhase::idle) ++first;
     return first;
--- a/src/core/cluster/job.hpp
+++ b/src/core/cluster/job.hpp
@@ -1,8 +1,9 @@
-/// One accepted job: what its user asked for, where its tasks stand, and what of that is durable.
+/// An accepted job: its specification, the progress of its tasks, and which of its state is
+/// durable.
 ///
-/// Owned by `JobTable`, which alone adds and removes assignments and changes phases. Reconciliation
-/// takes assignments through their stages; scheduling, failure attribution and the write queue
-/// write the part named for them below. Plain data without locks.
+/// `JobTable` owns all jobs and alone adds and removes assignments and changes task phases.
+/// Reconciliation advances assignments through their stages. Scheduling, failure attribution and
+/// the write queue write the members that are documented as theirs below. Plain data without locks.
 #pragma once
 
 #include <map>
@@ -18,18 +19,19 @@
 
 namespace bendspindle::core {
 
-/// `none`: the job is open. A terminal state is never left, nor exchanged for the other, except
-/// where the key-value store turns out to hold the other one (`JobTable::finished_by_record`).
+/// `none` means that the job is open. A job never leaves a terminal state, nor does it change from
+/// one terminal state to the other, unless the key-value store turns out to hold the other one
+/// (`JobTable::finished_by_record`).
 enum class TerminalState : std::uint8_t { none, done, cancelled };
 
-/// First and last task, both included.
+/// A range of task indices; both ends are inclusive.
 struct TaskRange {
     std::uint32_t first = 0;
     std::uint32_t last = 0;
     bool operator==(const TaskRange&) const = default;
 };
 
-/// The durable form of a job, as it stands in the key-value store.
+/// The durable form of a job, as stored in the key-value store.
 struct JobRecord {
     JobSpec spec;
     std::string home;
@@ -41,123 +43,127 @@
 
 /// State machine of a task:
 ///
-///     idle -> placed   assigned to a machine, or found running there
-///     placed -> idle   unassigned: shown gone, or its machine is
-///     any -> done      it has completed; tasks of a gang complete together
-///     any -> durable   a done-set that holds it was written, or read after a failover
+///     idle -> placed   assigned to a machine, or found running on one
+///     placed -> idle   unassigned: the task or its machine is proven gone
+///     any -> done      completed; the tasks of a gang complete together
+///     any -> durable   a done-set that contains it was written, or read after a failover
 ///
-/// `done` and `durable` are never left (rule went_back): a completed task is not placed again.
+/// A task never leaves `done` or `durable` (rule went_back): a completed task is not placed again.
 enum class TaskPhase : std::uint8_t { idle, placed, done, durable };
 
-/// A task's place on a machine, from the decision until the task is shown gone.
+/// The placement of a task on a machine, from the placement decision until the task is proven gone.
 struct Assignment {
     /// State machine of an assignment:
     ///
-    ///     bound -> commanded      a start went out
-    ///     commanded -> reported   the machine's task list shows the task
+    ///     bound -> commanded      a start command was sent
+    ///     commanded -> reported   the machine's task list contains the task
     ///     commanded -> bound      the start was rejected, or certainly never took effect
     ///
-    /// A bound one may be withdrawn at any time. One that is commanded or reported is removed only
-    /// when a fenced machine's task list shows the task gone, or the machine is (rule ran_twice).
+    /// A bound assignment may be withdrawn at any time. A commanded or reported one is removed only
+    /// when the task list of a fenced machine shows that the task is gone, or when the machine
+    /// itself is gone (rule ran_twice).
     enum class Stage : std::uint8_t { bound, commanded, reported };
     std::string machine;
     std::uint64_t attempt = 0;
     Stage stage = Stage::bound;
     TaskState state = TaskState::fetching;
     std::uint64_t started_in_agent_epoch = 0;
-    // The start went out in a direct call whose outcome is not known: the call may still be on its
-    // way, so the task's absence from a task list proves nothing.
+    // The start was sent in a direct call whose outcome is unknown. The call may still be in
+    // flight, so the absence of the task from a task list proves nothing.
     bool direct_start_unsettled = false;
-    TimePoint since{};  // of the stage
+    TimePoint since{};  // when the current stage was entered
     TimePoint bound_at{};
-    TimePoint commanded_at{};  // unset: adopted from a former leader
+    TimePoint commanded_at{};  // unset if adopted from a former leader
     TimePoint reported_at{};
-    TimePoint running_since{};  // when it was first seen running
-    // Stopping.
+    TimePoint running_since{};  // when the task was first seen running
+    // Stop request.
     bool stopping = false;
-    Seconds grace{0};  // to save its progress
+    Seconds grace{0};  // time to save a checkpoint
     TimePoint stop_sent_at{};
-    // Others were preempted for it: it keeps its place until then.
+    // Other tasks were preempted for this one, which keeps its reservation until then.
     TimePoint reserved_until{};
-    // Ready list order: DSMF's makespan, then RPM; `rank` holds the exceptions.
+    // Order in the ready list: by DSMF makespan, then by RPM. `rank` overrides both.
     int rank = 0;
     Seconds makespan{0};
     Seconds rpm{0};
 };
 
-/// Failures on this many machines speak against the job, fewer against the machines.
-inline constexpr std::size_t machines_against_a_job = 2;
+/// A job that has failed on at least this many machines is suspect; with fewer, the machines are
+/// blamed.
+inline constexpr std::size_t suspect_machine_threshold = 2;
 
-/// Where the tasks stand. The counts always agree with `phase`; `Job::set_phase` changes both.
+/// Progress of the tasks. `Job::set_phase` keeps the counts consistent with `phase`.
 struct JobProgress {
-    std::vector<TaskPhase> phase;  // by task
+    std::vector<TaskPhase> phase;  // indexed by task
     std::uint32_t finished = 0;    // tasks that are done or durable
-    std::uint32_t placed = 0;      // tasks whose phase is `placed`
-    std::uint32_t first_idle = 0;  // no task before this one is idle
-    bool started = false;          // all tasks of a gang, or one of an array, have run at once
+    std::uint32_t placed = 0;      // tasks in phase `placed`
+    std::uint32_t first_idle = 0;  // no task with a lower index is idle
+    bool started = false;  // all tasks of a gang, or one of an array, have run at the same time
 };
 
-/// Its terminal state, and who may know of it. `durable` implies `state != none`.
+/// The terminal state and whether it may be disclosed. `durable` implies `state != none`.
 struct JobTermination {
     TerminalState state = TerminalState::none;
     bool durable = false;
-    // A write of it may have been carried out, or may yet be: until it is durable, no state of the
-    // job is answered (rule went_back).
+    // A write of the terminal state may have been carried out, or may still be. Until the terminal
+    // state is durable, no state of the job is reported to users (rule went_back).
     bool sent = false;
     TimePoint cancelled_at{};
 };
 
-/// Its record in the key-value store (`WriteQueue`). The record is up to date where
+/// State of the job's record in the key-value store (`WriteQueue`). The record is up to date if
 /// `version == durable_version`.
 struct JobRecordState {
     bool durable = false;
     TimePoint durable_at{};
-    // Its first write met a record that another controller had written before.
+    // The first write of the record found one that another controller had written before.
     bool found_in_store = false;
     std::uint64_t mod_revision = 0;     // 0: no record yet
-    std::uint64_t version = 0;          // counts changes of what the record holds
-    std::uint64_t durable_version = 0;  // the change that is durable
-    TimePoint changed_at{};             // since when changes wait; anew after each write
+    std::uint64_t version = 0;          // counts changes to the content of the record
+    std::uint64_t durable_version = 0;  // the version that is durable
+    TimePoint changed_at{};  // when the oldest unwritten change was made; reset after each write
 };
 
-/// Tries that failed (`FailureAttribution`). A job that fails on one machine only is not blamed.
+/// Failed attempts (`FailureAttribution`). A job that has failed on one machine only is not blamed.
 struct JobFailures {
     std::uint32_t tries_in_a_row = 0;
-    std::set<std::string> machines;  // on which it failed
+    std::set<std::string> machines;  // on which the job failed
     TimePoint last_at{};
     TimePoint retry_not_before{};
 };
 
-/// How long it has been kept waiting (scheduling). `starved` and `started_under_minimum_share`
-/// are never taken back.
+/// How long the job has been waiting (scheduling). `starved` and `started_under_minimum_share` are
+/// never reset.
 struct JobStarvation {
-    // Since when it has waited without any of it being started; none: it is not waiting.
+    // Start of the current wait, during which no task was started; empty if the job is not waiting.
     std::optional<TimePoint> waiting_since;
-    // It has once waited so long that its team's guarantee comes first.
+    // The job has once waited so long that its team's guarantee takes precedence.
     bool starved = false;
-    // Was placed within a fair-share minimum, and keeps its protection. Guard: a class whose job
-    // had just been started starved no more, and the job was preempted again for those who had
-    // kept it waiting.
+    // The job was placed within a fair-share minimum and keeps its preemption protection. Without
+    // it, a class was no longer starved as soon as one of its jobs had started, and that job was
+    // preempted again by the jobs that had kept it waiting.
     bool started_under_minimum_share = false;
 };
 
-/// Of its own tasks that have completed, recent ones weighing more.
+/// Run time of the job's own completed tasks; recent tasks weigh more.
 struct JobRunTimes {
     Seconds mean{0};
     std::uint32_t count = 0;
 };
 
-/// An open job, or one in a terminal state that still has tasks on machines or is not durable.
+/// An open job, or a terminal one that still has tasks on machines or whose terminal state is not
+/// durable.
 struct Job {
     JobSpec spec;
-    std::uint64_t serial = 0;  // order of acceptance here
-    ImageId image = 0;         // of the spec's image
+    std::uint64_t serial = 0;  // order of acceptance by this controller
+    ImageId image = 0;         // id of `spec.image`
     WallTime submitted{};
     TimePoint accepted_at{};
-    // No older term can have started any of it.
+    // No leader of an older term can have started any task of the job.
     bool accepted_this_term = false;
     std::uint64_t last_attempt = 0;
-    /// By task: those in phase `placed`, and those found on machines though finished.
+    /// Indexed by task: the tasks in phase `placed`, and finished tasks that were found on
+    /// machines.
     std::map<std::uint32_t, Assignment> assignments;
     JobProgress progress;
     JobTermination terminal;
@@ -166,30 +172,32 @@
     JobStarvation starvation;
     JobRunTimes run_times;
 
-    /// Tasks that may be bound.
+    /// Returns the number of tasks that may be bound.
     [[nodiscard]] std::uint32_t idle_count() const {
         return spec.tasks - progress.finished - progress.placed;
     }
-    /// Keeps the counts of `progress` right.
+    /// Changes the phase of a task and updates the counts of `progress`.
     void set_phase(std::uint32_t index, TaskPhase to);
     [[nodiscard]] bool is_terminal() const { return terminal.state != TerminalState::none; }
-    /// Fails on every machine so far: submitted with a mistake, perhaps.
+    /// Returns whether the job has failed on several machines without completing a task, which
+    /// suggests an error in the job itself.
     [[nodiscard]] bool suspect() const {
-        return failures.machines.size() >= machines_against_a_job && progress.finished == 0;
+        return failures.machines.size() >= suspect_machine_threshold && progress.finished == 0;
     }
-    /// How many of its tasks are tried at once.
+    /// Returns how many tasks of the job may be placed at the same time; one at a time for a
+    /// suspect job.
     [[nodiscard]] std::uint32_t tasks_tried_at_once() const {
         return suspect() && spec.kind != Kind::gang ? 1 : spec.tasks;
     }
-    /// The first idle task; the number of tasks if there is none.
-    std::uint32_t next_idle();
+    /// Returns the first idle task, or the number of tasks if none is idle.
+    std::uint32_t find_first_idle();
 };
 
-/// The tasks that have completed, durable or not.
+/// Returns the tasks that have completed, durable or not.
 [[nodiscard]] std::vector<TaskRange> done_ranges(const Job& job);
-/// Sets the phase of all tasks in the ranges, as far as the job has them.
+/// Sets the phase of the tasks in the ranges; indices beyond the job's tasks are ignored.
 void mark_done(Job& job, const std::vector<TaskRange>& ranges, TaskPhase as);
-/// The record as of now; `home` names the controller that writes it.
+/// Returns the current record of the job. `home` names the controller that writes it.
 [[nodiscard]] JobRecord to_record(const Job& job, const std::string& home);
 
 }  // namespace bendspindle::core
--- a/src/core/cluster/job_table.cpp
+++ b/src/core/cluster/job_table.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// Attempts of one term never equal those of another, whatever a former leader still had under way.
+// The term in the high bits keeps the attempt numbers of different terms distinct, whatever a
+// former leader still had in progress.
 constexpr unsigned attempt_bits = 32;
 
 }  // namespace
@@ -60,14 +61,15 @@
     job->last_attempt = record.last_attempt;
     auto& ref = add(std::move(job));
     mark_done(ref, record.done, TaskPhase::durable);
-    // The former leader may have ended between the last done-set and the record that closes it.
+    // The former leader may have failed between writing the last done-set and writing the terminal
+    // record.
     if (ref.progress.finished == ref.spec.tasks && ref.spec.kind != Kind::service)
         finish(ref, TerminalState::done, now);
 }
 
 void JobTable::adopt(const JobRecord& record, std::uint64_t mod_revision, TimePoint now) {
     load(record, mod_revision, now);
-    // Its record is younger than this term, so no controller of an older one has started it.
+    // The record was written in this term, so no controller of an older term has started the job.
     by_id_.at(record.spec.id)->accepted_this_term = true;
 }
 
@@ -83,10 +85,10 @@
 std::optional<JobStatus> JobTable::status(const std::string& id) const {
     const auto* job = find(id);
     if (!job || !job->record.durable) return std::nullopt;
-    // Guard against went_back: its record may say already that it is terminal, to whoever reads it.
+    // Guard against went_back: readers of the record may already see the terminal state.
     if (job->terminal.sent && !job->terminal.durable) return std::nullopt;
     JobStatus out;
-    // A terminal state is answered only once it is durable: the next leader must know it, too.
+    // A terminal state is reported only once it is durable, so that the next leader knows it too.
     if (job->terminal.durable) out.terminal_state = job->terminal.state;
     out.done = job->progress.finished;
     for (const auto& [index, assignment] : job->assignments)
@@ -109,7 +111,7 @@
                                   TimePoint now) {
     auto* job = find(id);
     if (!job) return;
-    // Whichever it is, nothing of it is wanted any more: what is on machines is stopped.
+    // Either terminal state ends the job: its tasks on machines are stopped.
     finish(*job, TerminalState::cancelled, now);
     if (terminal_state == TerminalState::cancelled && job->terminal.cancelled_at == TimePoint{})
         job->terminal.cancelled_at = now;
@@ -121,7 +123,8 @@
 void JobTable::adopt_existing_record(const JobRecord& record, std::uint64_t mod_revision,
                                      TimePoint now) {
     auto* job = find(record.spec.id);
-    // One that its user has cancelled meanwhile is closed under the mod_revision of the record.
+    // A job that its user has cancelled in the meantime is closed under the mod_revision of the
+    // existing record.
     if (!job || job->record.durable || job->is_terminal())
         return set_mod_revision(record.spec.id, mod_revision);
     forget(*job);
@@ -153,7 +156,7 @@
     assignment.machine = machine.identity.name;
     assignment.since = assignment.bound_at = now;
     job.last_attempt = std::max(job.last_attempt, assignment.attempt);
-    assign(machine, job, job.next_idle(), assignment);
+    assign(machine, job, job.find_first_idle(), assignment);
     machine.lifecycle.idle_since = now;
 }
 
--- a/src/core/cluster/job_table.hpp
+++ b/src/core/cluster/job_table.hpp
@@ -1,9 +1,9 @@
-/// Owner of the jobs: which are open, where their tasks stand, which attempts were used, and what
-/// of it is durable.
+/// Owner of the jobs: which jobs are open, the progress of their tasks, the attempt numbers in use,
+/// and which of this state is durable.
 ///
-/// Called by `Controller` (users, failover), reconciliation (what machines report), scheduling
-/// (assignments) and the write queue (outcomes of writes). Not thread-safe. A job's assignments and
-/// the machines' `assigned_tasks` change together, here and nowhere else.
+/// Called by `Controller` (user requests, failover), reconciliation (agent reports), scheduling
+/// (assignments) and the write queue (outcomes of writes). Not thread-safe. Only this class changes
+/// the assignments of jobs and the `assigned_tasks` of machines, always together.
 #pragma once
 
 #include <cstdint>
@@ -22,87 +22,94 @@
 
 namespace bendspindle::core {
 
-/// What a user is answered about a job.
+/// The status of a job as reported to its user.
 struct JobStatus {
     TerminalState terminal_state = TerminalState::none;
     std::uint32_t done = 0;
     std::uint32_t running = 0;
 };
 
-/// All jobs in memory. References to a job hold until it is forgotten.
+/// All jobs in memory. References to a job stay valid until it is forgotten.
 class JobTable {
   public:
-    /// By serial: in order of acceptance.
+    /// Indexed by serial, that is, in order of acceptance.
     using Jobs = std::map<std::uint64_t, std::unique_ptr<Job>>;
 
-    /// `inventory` must outlive the table. `term` makes attempts unique among leaders.
+    /// `inventory` must outlive the table. `term` makes attempt numbers unique across leaders.
     JobTable(MachineInventory& inventory, std::uint64_t term);
 
     const Jobs& all() const { return jobs_; }
-    /// Null where no such job is in memory: it is unknown, or was terminal and forgotten.
+    /// Returns null if the job is not in memory: it is unknown, or it was terminal and has been
+    /// forgotten.
     [[nodiscard]] Job* find(const std::string& id);
     [[nodiscard]] const Job* find(const std::string& id) const;
     [[nodiscard]] bool knows(const std::string& id) const { return by_id_.contains(id); }
 
-    /// A record of an older term, after a failover.
+    /// Loads a record of an older term after a failover.
     void load(const JobRecord& record, std::uint64_t mod_revision, TimePoint now);
-    /// A record that another controller has written in this term.
+    /// Adopts a record that another controller has written in this term.
     void adopt(const JobRecord& record, std::uint64_t mod_revision, TimePoint now);
-    /// A new job of a user; its record is written next. The id must be unknown.
+    /// Adds a new job, whose record is written next. The id must be unknown.
     void accept(const JobSpec& spec, WallTime submitted, TimePoint now);
-    /// Nothing where no answer can be given yet: the job, or its terminal state, is not durable.
+    /// Returns nothing if the job is unknown, or if the job or its terminal state is not durable
+    /// yet.
     [[nodiscard]] std::optional<JobStatus> status(const std::string& id) const;
-    /// False: it is done already or unknown.
+    /// Cancels a job. Returns false if the job is done or unknown.
     bool cancel(const std::string& id, TimePoint now);
-    /// The key-value store holds this terminal state. It prevails, whatever is held here.
+    /// Applies a terminal state found in the key-value store, which takes precedence over the state
+    /// in memory.
     void finished_by_record(const std::string& id, TerminalState terminal_state, TimePoint now);
-    /// The write of a job's first record met one that another controller had accepted: that is the
-    /// job, whatever its user sent here.
+    /// Replaces a job by the existing record that its first write found: a job of this id was
+    /// accepted by another controller, and its specification applies.
     void adopt_existing_record(const JobRecord& record, std::uint64_t mod_revision, TimePoint now);
 
-    /// Attempts are never used again, by no controller.
+    /// Returns an attempt number that no controller has used or will use.
     [[nodiscard]] std::uint64_t next_attempt() { return ++next_attempt_; }
-    /// Binds the job's next idle task to a machine; `assignment` says how it ranks there.
+    /// Binds the job's next idle task to a machine. `assignment` gives its order in the ready list.
     void bind(Job& job, Machine& machine, Assignment assignment, TimePoint now);
-    /// Assigns one of the job's tasks, idle before or found on its machine.
+    /// Assigns a task of the job to a machine; the task was idle or was found on that machine.
     void assign(Machine& machine, Job& job, std::uint32_t index, const Assignment& assignment);
-    /// Takes the assignment back; a task that has not completed is idle again. The caller has
-    /// proof that it does not run (rule ran_twice).
+    /// Removes an assignment; a task that has not completed becomes idle again. Requires proof that
+    /// the task is not running (rule ran_twice).
     void unassign(Job& job, std::uint32_t index);
-    /// Its task is to be stopped, with `grace` to save. A shorter grace replaces a longer one.
+    /// Requests that a task be stopped, with `grace` to save a checkpoint. A shorter grace replaces
+    /// a longer one.
     static void stop(Assignment& assignment, Seconds grace);
-    /// Stops all of a job's tasks that are on machines or on their way there.
+    /// Stops all tasks of a job that are on machines or whose start was commanded.
     static void stop_all(Job& job, Seconds grace);
-    /// Stops a task with time to save; a gang whole and in one go, so that its progress is saved.
-    /// Returns how long it may take.
+    /// Stops a task with time to save a checkpoint. All tasks of a gang are stopped together, so
+    /// that their progress is saved. Returns the grace period.
     static Seconds stop_to_save(Job& job, Assignment& assignment);
-    /// A task of a gang's attempt is gone: the others are of no use. Nothing for other jobs.
+    /// Stops and unbinds the remaining tasks of a gang's attempt after one of them is gone. Does
+    /// nothing for jobs that are not gangs.
     void break_gang(Job& job, std::uint64_t attempt);
-    /// The machine is gone, and its tasks with it. Returns how many were commanded or reported.
+    /// Unassigns all tasks of a machine that is gone. Returns how many of them were commanded or
+    /// reported.
     [[nodiscard]] std::uint32_t mark_lost(Machine& machine);
 
-    /// The task has completed; the tasks of a gang complete together.
+    /// Marks a task as completed; the tasks of a gang complete together.
     void complete(Job& job, std::uint32_t index, TimePoint now);
 
-    /// `record`, the job's as of `version`, was written.
+    /// Records that `record`, the state of the job as of `version`, was written.
     void committed(Job& job, const JobRecord& record, std::uint64_t version,
                    std::uint64_t mod_revision, TimePoint now);
-    /// The job's terminal state was written. `job` may be gone afterwards.
+    /// Records that the terminal state of the job was written. May destroy `job`.
     void terminal_state_committed(Job& job);
-    /// The record's mod_revision is another than assumed. Nothing where the job is unknown.
+    /// Sets the actual mod_revision of a record, where it differs from the expected one. Does
+    /// nothing if the job is unknown.
     void set_mod_revision(const std::string& id, std::uint64_t mod_revision);
 
-    /// Its record cannot be read: its tasks are left alone.
+    /// Marks a job whose record cannot be read; its tasks are left alone.
     void quarantine(const std::string& id) { quarantined_.insert(id); }
     [[nodiscard]] bool quarantined(const std::string& id) const {
         return quarantined_.contains(id);
     }
-    /// Whether the job was in a terminal state before this controller became the leader. All open
-    /// jobs are in memory before the first heartbeat is handled.
+    /// Returns whether the job had reached a terminal state before this controller became the
+    /// leader. All open jobs are in memory before the first heartbeat is handled.
     [[nodiscard]] bool is_orphaned(const std::string& id) const {
         return !knows(id) && !quarantined(id);
     }
-    /// Jobs whose terminal state is durable and that are on no machine leave memory.
+    /// Removes jobs from memory whose terminal state is durable and that have no assignments.
     void forget_if_terminal(Job& job);
     void forget_all_terminal();
 
--- a/src/core/cluster/machine.hpp
+++ b/src/core/cluster/machine.hpp
@@ -1,8 +1,8 @@
-/// One machine as the leader knows it, cut into the parts that change for the same reason.
+/// A machine as known to the leader, grouped into members by reason for change.
 ///
 /// Owned by `MachineInventory`; read by placement, preemption, quota accounting and autoscaling.
-/// Written by the inventory, by `JobTable` (`assigned_tasks`, together with the jobs' assignments),
-/// by reconciliation (`reported_tasks`, `untracked`, `failures`, `direct_calls`) and by the
+/// Written by the inventory, by `JobTable` (`assigned_tasks`, together with the assignments of
+/// jobs), by reconciliation (`reported_tasks`, `untracked`, `failures`, `direct_calls`) and by the
 /// autoscaler (the scale-in fields of `lifecycle`). Plain data without locks: one thread at a time.
 #pragma once
 
@@ -23,31 +23,32 @@
 
 namespace bendspindle::core {
 
-/// Names a task for as long as its job is in memory.
+/// Identifies a task while its job is in memory.
 struct TaskKey {
     std::uint64_t job_serial = 0;
     std::uint32_t index = 0;
     auto operator<=>(const TaskKey&) const = default;
 };
 
-/// A task that is assigned to a machine. Both pointers are valid as long as the entry is:
-/// `JobTable::unassign` removes the assignment and the entry together. They are kept because a
-/// machine's list is walked far more often than it changes.
+/// A task that is assigned to a machine. Both pointers are valid as long as the entry exists:
+/// `JobTable::unassign` removes the assignment and the entry together. The pointers avoid lookups,
+/// because the list of a machine is iterated far more often than it changes.
 struct AssignedTask {
     Job* job = nullptr;
     Assignment* assignment = nullptr;
 };
 
-/// An image in a machine's cache.
+/// An image in the cache of a machine.
 struct CachedImage {
     ImageId id = 0;
     double gb = 0;
 };
 
-/// What the machine is. `type` indexes the catalog and means something only while `type_known`.
+/// Static properties of a machine. `type` is an index into the catalog and valid only if
+/// `type_known`.
 struct MachineIdentity {
     std::string name;
-    std::string address;  // empty until it is known; no direct call goes out before
+    std::string address;  // empty until known; no direct call is made before
     std::size_t type = 0;
     bool type_known = false;
     std::string type_name;
@@ -55,80 +56,86 @@
     bool spot = false;
 };
 
-/// Its record in the key-value store.
+/// State of the machine's record in the key-value store.
 struct MachineRecordState {
-    bool durable = false;     // the record is there: starts may be commanded
-    bool unreadable = false;  // until the machine is fenced, anything may run on it
+    bool durable = false;     // the record exists: starts may be commanded
+    bool unreadable = false;  // until the machine is fenced, any task may run on it
     std::uint64_t mod_revision = 0;
 };
 
-/// Whether it is fenced in this term, and its newest message. (`agent_epoch`, `sequence`) never
-/// goes back while the machine is known: an older message is not taken over.
+/// Fencing state of the machine in this term, and the position of its newest message.
+/// (`agent_epoch`, `sequence`) never decreases while the machine is known: older messages are not
+/// applied.
 struct MachineFencing {
-    bool confirmed = false;  // a message of its own has shown this term's fencing token
+    bool confirmed = false;  // a message of the machine has carried this term's fencing token
     std::uint64_t agent_epoch = 0;
     std::uint64_t sequence = 0;
 };
 
-/// When it was in contact. `last_contact` and `last_unprompted_at` are moved forward over pauses of
-/// this controller (`MachineInventory::keep_time`); `last_message_at` never is.
+/// Times of contact. `last_contact` and `last_unprompted_at` are moved forward by pauses of this
+/// controller (`MachineInventory::keep_time`); `last_message_at` never is.
 struct MachineContact {
-    bool has_reported = false;  // any message in this term
+    bool has_reported = false;  // has sent any message in this term
     TimePoint first_seen{};
     TimePoint last_contact{};
     TimePoint last_message_at{};
-    TimePoint last_unprompted_at{};  // its last heartbeat, or the first answer if none came before
-    TimePoint loaded_at{};           // when its record was loaded; unset: not from a record
+    // Last heartbeat, or the first direct-call answer if none came before.
+    TimePoint last_unprompted_at{};
+    TimePoint loaded_at{};  // when its record was loaded; unset if not loaded from a record
 };
 
-/// Whether messages to it arrive. That its own arrive proves nothing of the other direction: a
-/// one-way partition (docs/failure-modes.md).
+/// Whether messages to the machine arrive. Messages from the machine prove nothing about the other
+/// direction: the network may be partitioned one way (docs/failure-modes.md).
 struct MachineReachability {
     std::optional<TimePoint> first_heartbeat_at;  // in this term
-    // Its messages arrive, and by all signs none of ours does.
+    // Messages from the machine arrive, but apparently none to it.
     std::optional<TimePoint> inbound_unreachable_since;
-    // What the response to its last heartbeat commanded, until the next shows whether it arrived.
+    // Commands in the response to the last heartbeat, kept until the next heartbeat shows whether
+    // the response arrived.
     std::vector<TaskCommand> outstanding_commands;
-    std::uint32_t unacknowledged_commands = 0;  // heartbeats in a row that showed none of them
+    // Consecutive heartbeats that reflected none of the commands sent.
+    std::uint32_t unacknowledged_commands = 0;
 };
 
-/// Direct calls to its address; one at a time.
+/// State of direct calls to the machine; at most one is in progress.
 struct MachineDirectCalls {
     bool in_progress = false;
     TimePoint last_call_at{};
-    // Job and attempt of starts whose call was never answered: a late copy may still arrive, and
-    // would run the task again had the agent acknowledged and forgotten the attempt.
+    // Job and attempt of starts whose call was never answered. A delayed copy of the call may still
+    // arrive, and would run the task again if the agent had acknowledged and forgotten the attempt.
     std::set<std::pair<std::string, std::uint64_t>> unanswered_starts;
 };
 
-/// What the last task list shows beyond the assignments.
+/// Tasks in the last task list that have no assignment.
 struct UntrackedTasks {
-    Resources resources;             // that they take; all that is free, where it is not known
+    Resources resources;             // in use by these tasks; all free resources if unknown
     bool has_unknown_tasks = false;  // of orphaned or quarantined jobs
-    // Orphaned tasks: their jobs were in a terminal state before this term.
+    // Since when the machine has had orphaned tasks, whose jobs were in a terminal state before
+    // this term.
     std::optional<TimePoint> orphaned_since;
-    TimePoint orphans_stopped_at{};  // when a direct call last carried stops for them
+    TimePoint orphans_stopped_at{};  // when a direct call last carried stops for orphaned tasks
 };
 
-/// Failures that speak against the machine (`FailureAttribution`).
+/// Failures that are attributed to the machine (`FailureAttribution`).
 struct MachineFailures {
-    // Jobs of which a task failed here since a task last completed: 1 each, less for jobs that fail
-    // everywhere.
+    // Jobs of which a task has failed on this machine since a task last completed there. The weight
+    // is 1, or less for suspect jobs.
     std::map<std::string, double> weight_by_job;
-    bool at_fault = false;  // takes no more tasks, and is released when empty
+    bool at_fault = false;  // receives no more tasks, and is released once empty
 };
 
-/// From scale-out to release.
+/// Lifecycle from scale-out to release.
 struct MachineLifecycle {
-    bool known_to_cloud = false;  // scaled out or listed in this term
-    bool releasing = false;       // never taken back: only the answered release removes the machine
-    std::optional<TimePoint> reclaim_at;  // spot notice: when the cloud takes it
+    bool known_to_cloud = false;  // scaled out or listed by the cloud in this term
+    // Never reset; the machine is removed only once its release is confirmed.
+    bool releasing = false;
+    std::optional<TimePoint> reclaim_at;  // from a spot notice: when the cloud reclaims the machine
     TimePoint idle_since{};
-    std::optional<TimePoint> surplus_since;  // planning has had no use for it
-    bool draining_for_scale_in = false;      // takes no more tasks, and is released when empty
+    std::optional<TimePoint> surplus_since;  // since when the scaling plan has not needed it
+    bool draining_for_scale_in = false;      // receives no more tasks, and is released once empty
 };
 
-/// A machine that exists, or may: it stays until its release was answered.
+/// A machine that exists or may exist. It is kept until the cloud has confirmed its release.
 struct Machine {
     MachineIdentity identity;
     MachineRecordState record;
@@ -139,18 +146,19 @@
     MachineLifecycle lifecycle;
     MachineFailures failures;
     UntrackedTasks untracked;
-    std::vector<ReportedTask> reported_tasks;  // of its last task list
-    /// Index into the jobs' assignments; `JobTable` changes both together.
+    std::vector<ReportedTask> reported_tasks;  // from the last task list
+    /// Index of the assignments of jobs to this machine; `JobTable` changes both together.
     std::map<TaskKey, AssignedTask> assigned_tasks;
     std::vector<CachedImage> cached_images;  // most recently used last
 
-    /// Takes no new tasks, and those on it are to leave.
+    /// Returns whether the machine receives no new tasks and its tasks have to leave.
     [[nodiscard]] bool draining() const {
         return lifecycle.releasing || failures.at_fault || lifecycle.reclaim_at.has_value();
     }
-    /// What its tasks take, bound and untracked ones included.
+    /// Returns the resources in use, including those of bound and untracked tasks.
     [[nodiscard]] Resources used() const;
-    /// Whether a message of this agent epoch and sequence is no newer than one already taken over.
+    /// Returns whether the heartbeat is no newer than one already applied, by agent epoch and
+    /// sequence.
     [[nodiscard]] bool has_seen(const Heartbeat& heartbeat) const {
         return std::pair(heartbeat.agent_epoch, heartbeat.sequence) <=
                std::pair(fencing.agent_epoch, fencing.sequence);
--- a/src/core/cluster/machine_catalog.cpp
+++ b/src/core/cluster/machine_catalog.cpp
@@ -31,7 +31,7 @@
         return type.size.holds(spec.need) && allowed_in_some_zone(spec, type);
     });
     if (!fits_some) return Verdict::never_fits;
-    // An array needs its limit for one task, gangs and services for all of them.
+    // The quota must allow one task of an array, but all tasks of a gang or service at once.
     const double at_once = spec.kind == Kind::array ? 1 : spec.tasks;
     const auto& limit = team->limit;
     if (limit.cpus > 0 && spec.need.cpus * at_once > limit.cpus) return Verdict::never_fits;
@@ -61,9 +61,9 @@
     return it->second;
 }
 
-// Guard against GPUs paid for in vain: when everything else was taken, GPU machines were scaled out
-// for tasks that need none. They use GPU machines that are there, but none is scaled out for them
-// unless no other type can run them.
+// Guard against paying for idle GPUs: when all other machines were in use, GPU machines were scaled
+// out for tasks that need no GPU. Such tasks may use existing GPU machines, but none is scaled out
+// for them unless no other type can run them.
 bool MachineCatalog::suits(const JobSpec& spec, const MachineType& type) const {
     if (spec.need.gpus > 0 || type.size.gpus <= 0) return true;
     return std::none_of(types_.begin(), types_.end(), [&](const MachineType& other) {
--- a/src/core/cluster/machine_catalog.hpp
+++ b/src/core/cluster/machine_catalog.hpp
@@ -1,6 +1,6 @@
-/// Owner of the machine types: what can be scaled out, and which jobs may use what. Read by all
-/// modules of the core; set once the catalog is read. Knows nothing of machines that exist
-/// (`MachineInventory`).
+/// Owner of the machine types: which types can be scaled out, and which jobs may use them. Read by
+/// all modules of the core; set once the catalog has been read. Existing machines are kept in
+/// `MachineInventory`.
 #pragma once
 
 #include <optional>
@@ -16,32 +16,35 @@
 
 namespace bendspindle::core {
 
-/// `not_ready`: the catalog is not known yet.
+/// `not_ready` means that the catalog is not known yet.
 enum class Verdict : std::uint8_t { fits, never_fits, not_ready };
 
-/// Whether a job could ever run.
+/// Returns whether a job could ever run.
 [[nodiscard]] Verdict judge(const JobSpec& spec, const std::vector<Team>& teams,
                             const std::vector<MachineType>& types);
 
-/// Whether a job's user allows such a machine.
+/// Returns whether the constraints of a job allow such a machine.
 [[nodiscard]] bool allowed(const JobSpec& spec, const std::string& type, const std::string& zone,
                            bool spot);
 
-/// Types are named by their index, which holds until `set`.
+/// The machine types of the cloud. A type is identified by its index, which is valid until `set`.
 class MachineCatalog {
   public:
-    /// Replaces all types; indices into them change (`MachineInventory::catalog_changed`).
+    /// Replaces all types and thereby invalidates all indices
+    /// (`MachineInventory::catalog_changed`).
     void set(std::vector<MachineType> types);
     bool known() const { return !types_.empty(); }
     const std::vector<MachineType>& types() const { return types_; }
     const MachineType& operator[](std::size_t type) const { return types_[type]; }
-    /// Nothing where the catalog has no such type.
+    /// Returns nothing if the catalog has no such type.
     std::optional<std::size_t> find(const std::string& name) const;
-    /// As much of everything as any type has.
+    /// Returns the maximum of each resource over all types.
     [[nodiscard]] Resources largest() const;
-    /// Whether machines of a type are scaled out for such work, among those that it is allowed on.
+    /// Returns whether machines of a type may be scaled out for the job, given that the job may use
+    /// the type.
     [[nodiscard]] bool suits(const JobSpec& spec, const MachineType& type) const;
-    /// The longest boot among the types a job may use: which one is to be had is not known before.
+    /// Returns the longest boot time among the types that a job may use; which of them is available
+    /// is not known in advance.
     [[nodiscard]] Seconds longest_boot(const JobSpec& spec) const;
 
   private:
--- a/src/core/cluster/machine_inventory.cpp
+++ b/src/core/cluster/machine_inventory.cpp
@@ -8,28 +8,32 @@
 
 namespace {
 
-// Bounds the memory that removed machines take.
-constexpr std::size_t removed_remembered = 4096;
-constexpr Seconds silence_beyond_lease{2};
-constexpr Seconds beyond_list_lag{2};
-// Beyond a cycle; a busy controller may be late by less.
-constexpr Seconds own_standstill{2};
-// Part of the time in which a cancelled job's tasks must be gone; then the machine is released.
+// Bounds the memory used by names of removed machines.
+constexpr std::size_t max_remembered_removals = 4096;
+constexpr Seconds lease_margin{2};
+constexpr Seconds list_lag_margin{2};
+// Longest delay between cycles, beyond the cycle interval, that is attributed to load of this
+// controller; a longer one counts as a pause.
+constexpr Seconds max_cycle_delay{2};
+// Fraction of the time limit for stopping the tasks of a cancelled job after which the machine is
+// released.
 constexpr double cancel_share = 0.6;
-// Heartbeats in a row that show none of what was commanded: any network may lose one response.
-constexpr std::uint32_t heartbeats_unacknowledged = 2;
-// Of the unreachable machines this share of the inventory may be released within a lease, and two
-// in any case. More at once are rather this controller's own fault than theirs.
-constexpr double most_released_share = 0.1;
-constexpr std::size_t least_released = 2;
-// A machine may miss this many heartbeats before anything is read from it.
-constexpr double heartbeats_missed = 2.5;
-constexpr Seconds beyond_heartbeats{1};
-// A boot may take this many times as long as the catalog says.
-constexpr double boots_waited = 3.5;
-constexpr Seconds beyond_boot{10};
-
-bool shows(const TaskCommand& command, const Heartbeat& heartbeat) {
+// Consecutive heartbeats that reflect none of the commands sent; a single response may be lost on
+// any network.
+constexpr std::uint32_t unacknowledged_heartbeats_threshold = 2;
+// At most this fraction of the inventory, but always up to two machines, may be released as
+// unreachable within one lease. If more machines seem unreachable, the fault is more likely with
+// this controller.
+constexpr double max_released_fraction = 0.1;
+constexpr std::size_t min_release_limit = 2;
+// Number of consecutive heartbeats that a machine may miss before its silence has consequences.
+constexpr double max_missed_heartbeats = 2.5;
+constexpr Seconds heartbeat_margin{1};
+// Multiple of the boot time in the catalog after which a boot counts as failed.
+constexpr double max_boot_factor = 3.5;
+constexpr Seconds boot_margin{10};
+
+bool took_effect(const TaskCommand& command, const Heartbeat& heartbeat) {
     const auto it =
         std::find_if(heartbeat.tasks.begin(), heartbeat.tasks.end(), [&](const auto& task) {
             return task.index == command.index && task.attempt == command.attempt &&
@@ -59,8 +63,9 @@
     if (type) identity.type = *type;
 }
 
-void MachineInventory::describe(Machine& machine, const std::string& name, const std::string& type,
-                                const std::string& zone, bool spot) const {
+void MachineInventory::set_identity(Machine& machine, const std::string& name,
+                                    const std::string& type, const std::string& zone,
+                                    bool spot) const {
     auto& identity = machine.identity;
     identity.name = name;
     identity.type_name = type;
@@ -76,7 +81,7 @@
 void MachineInventory::load(const ListedMachine& record, std::uint64_t mod_revision,
                             TimePoint now) {
     auto& machine = machines_[record.name];
-    describe(machine, record.name, record.type, record.zone, record.spot);
+    set_identity(machine, record.name, record.type, record.zone, record.spot);
     machine.identity.address = record.address;
     machine.record.durable = true;
     machine.record.mod_revision = mod_revision;
@@ -94,7 +99,7 @@
     auto [it, fresh] = machines_.try_emplace(heartbeat.machine);
     auto& machine = it->second;
     if (fresh) machine.contact.first_seen = machine.lifecycle.idle_since = now;
-    describe(machine, heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot);
+    set_identity(machine, heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot);
     machine.identity.address = heartbeat.address;
     return machine;
 }
@@ -107,7 +112,7 @@
         if (!fresh) continue;
         auto& machine = it->second;
         machine.lifecycle.known_to_cloud = true;
-        describe(machine, name, request.type, request.zone, request.spot);
+        set_identity(machine, name, request.type, request.zone, request.spot);
         machine.contact.first_seen = machine.contact.last_contact = machine.lifecycle.idle_since =
             now;
     }
@@ -118,13 +123,13 @@
     std::set<std::string_view> names;
     for (const auto& entry : machines) names.insert(entry.name);
     for (auto& [name, machine] : machines_)
-        if (!names.contains(name) && asked > must_be_listed_from(machine))
+        if (!names.contains(name) && asked > listed_after(machine))
             machine.lifecycle.releasing = true;
     for (const auto& entry : machines) {
         if (removed_.contains(entry.name)) continue;
         if (entry.stage == MachineStage::failed) {
-            // A failed entry proves that the machine has stopped. It is deleted below; until the
-            // deletion is answered its tasks stay where they are, which costs one call.
+            // A failed entry proves that the machine has stopped. It is deleted below. Its tasks
+            // stay assigned until the deletion is confirmed, which takes one call.
             if (auto* machine = find(entry.name)) {
                 machine->lifecycle.releasing = true;
                 continue;
@@ -134,23 +139,25 @@
         it->second.lifecycle.known_to_cloud = true;
         if (it->second.identity.address.empty()) it->second.identity.address = entry.address;
         if (!fresh) continue;
-        // A machine that nobody here asked for: a late scale-out, or one of a former leader.
+        // A machine that this leader has not requested: a delayed scale-out, or one by a former
+        // leader.
         auto& machine = it->second;
-        describe(machine, entry.name, entry.type, entry.zone, entry.spot);
+        set_identity(machine, entry.name, entry.type, entry.zone, entry.spot);
         machine.contact.first_seen = later(now, -entry.age);
         machine.contact.last_contact = machine.lifecycle.idle_since = now;
         if (entry.stage == MachineStage::failed) machine.lifecycle.releasing = true;
     }
 }
 
-// A list asked for later than this holds the machine, unless it is gone. A machine that the cloud
-// has reclaimed, or that a former leader has released, leaves the list long before the lease of its
-// agent is over. Absence proves nothing, so its release is asked for; that it is answered does.
-// Were the list wrong, a machine without contact for as long would be lost, and no rule broken.
-TimePoint MachineInventory::must_be_listed_from(const Machine& machine) const {
-    const auto late = config_.list_lag * 2 + beyond_list_lag;
-    // One that has sent heartbeats is not released for a heartbeat or two that went astray.
-    const auto silent = config_.workers.heartbeat * heartbeats_missed + beyond_heartbeats;
+// A list requested after this time contains the machine unless it is gone. A machine that the cloud
+// has reclaimed, or that a former leader has released, disappears from the list long before the
+// lease of its agent expires. Absence from the list is no proof, so the machine is released, and
+// only the confirmed release counts. If the list were wrong, a machine without contact for the same
+// time would be lost, but no rule would be broken.
+TimePoint MachineInventory::listed_after(const Machine& machine) const {
+    const auto late = config_.list_lag * 2 + list_lag_margin;
+    // A machine that has sent heartbeats is not released because one or two of them were lost.
+    const auto silent = config_.workers.heartbeat * max_missed_heartbeats + heartbeat_margin;
     return later(machine.contact.last_contact,
                  machine.contact.has_reported ? std::max(late, silent) : late);
 }
@@ -160,8 +167,8 @@
     if (heartbeat.agent_epoch != machine.fencing.agent_epoch) {
         machine.direct_calls.unanswered_starts.clear();
         machine.reachability.outstanding_commands.clear();
-        // Its lease expired for want of responses while its heartbeats came all the time, each of
-        // them answered: a one-way partition.
+        // Its lease expired for lack of responses although its heartbeats kept arriving and each
+        // was answered: the network is partitioned one way.
         const bool in_contact_throughout =
             machine.fencing.confirmed && machine.fencing.agent_epoch != 0 &&
             between(machine.contact.last_message_at, now) < config_.workers.lease / 2;
@@ -182,31 +189,32 @@
 
 void MachineInventory::confirm(Machine& machine, TimePoint now) {
     if (!machine.fencing.confirmed) {
-        // Its fencing token rose.
+        // The fencing token of the machine was raised.
         machine.lifecycle.idle_since = now;
         mark_reachable(machine);
     }
     machine.fencing.confirmed = true;
 }
 
-// Guard against a machine that draws all work to itself: no command reached it, its heartbeats said
-// that it was free, and every task was placed there again after each of them.
+// Guard against a machine that attracts all work: no command reached it, its heartbeats reported it
+// as free, and each of them led to every task being placed there again.
 void MachineInventory::check_acknowledgements(Machine& machine, const Heartbeat& heartbeat,
                                               TimePoint now) {
     const auto commands = std::exchange(machine.reachability.outstanding_commands, {});
-    // A task of a gang that saves is reported as running until it exits, so a stop with time to
-    // save that does not show proves nothing.
+    // A gang task that saves a checkpoint is reported as running until it exits, so a stop with a
+    // grace period that is not reflected proves nothing.
     const auto conclusive = [](const TaskCommand& command) {
         return command.verb != TaskCommand::Verb::stop || command.grace <= Seconds{0};
     };
     if (std::none_of(commands.begin(), commands.end(), conclusive)) return;
     const bool acknowledged =
         std::any_of(commands.begin(), commands.end(), [&](const TaskCommand& command) {
-            return conclusive(command) && shows(command, heartbeat);
+            return conclusive(command) && took_effect(command, heartbeat);
         });
     if (acknowledged)
         mark_reachable(machine);
-    else if (++machine.reachability.unacknowledged_commands >= heartbeats_unacknowledged &&
+    else if (++machine.reachability.unacknowledged_commands >=
+                 unacknowledged_heartbeats_threshold &&
              !machine.reachability.inbound_unreachable_since)
         machine.reachability.inbound_unreachable_since = now;
 }
@@ -216,41 +224,42 @@
     machine.reachability.inbound_unreachable_since.reset();
 }
 
-// Its messages arrive, and for longer than a lease nothing shows that ours do. One that renewed its
-// lease all the same received something: its agent epoch is the same.
+// Heartbeats of the machine arrive, but for longer than a lease nothing has shown that messages to
+// it do. A machine whose agent epoch has not changed has renewed its lease, so it did receive a
+// response.
 bool MachineInventory::is_unreachable(const Machine& machine, TimePoint now) const {
     if (machine.lifecycle.releasing || !machine.reachability.first_heartbeat_at) return false;
-    const auto limit = config_.workers.lease + silence_beyond_lease;
+    const auto limit = config_.workers.lease + lease_margin;
     if (!machine.fencing.confirmed)
         return between(later(*machine.reachability.first_heartbeat_at, limit), now) > Seconds{0};
     return machine.reachability.inbound_unreachable_since && machine.assigned_tasks.empty() &&
            between(*machine.reachability.inbound_unreachable_since, now) > limit;
 }
 
-// Guard against charges without end, and against work of a former term that waits for ever: the
-// heartbeats of such a machine kept it alive, and none of the commands to it arrived.
+// Guard against unbounded charges and against jobs of a former term that wait forever: the
+// heartbeats of such a machine kept it in the inventory although no command reached it.
 void MachineInventory::release_unreachable(TimePoint now) {
     while (!unreachable_released_at_.empty() &&
            between(unreachable_released_at_.front(), now) > config_.workers.lease)
         unreachable_released_at_.pop_front();
-    const auto most =
-        std::max(least_released, static_cast<std::size_t>(std::floor(
-                                     static_cast<double>(machines_.size()) * most_released_share)));
+    const auto max_released = std::max(
+        min_release_limit, static_cast<std::size_t>(std::floor(
+                               static_cast<double>(machines_.size()) * max_released_fraction)));
     for (auto& [name, machine] : machines_) {
-        if (unreachable_released_at_.size() >= most) return;
+        if (unreachable_released_at_.size() >= max_released) return;
         if (!is_unreachable(machine, now)) continue;
         machine.lifecycle.releasing = true;
         unreachable_released_at_.push_back(now);
     }
 }
 
-// Guard against all machines released for the controller's own pause: one that had stood still for
-// longer than a lease found that no machine had been in contact for as long.
+// Guard against releasing all machines after a pause of this controller: a controller that had been
+// paused for longer than a lease found that no machine had been in contact for as long.
 void MachineInventory::keep_time(TimePoint now) {
     const auto last = std::exchange(last_check_, now);
     if (!last) return;
     const auto paused = between(*last, now);
-    if (paused < config_.cycle + own_standstill) return;
+    if (paused < config_.cycle + max_cycle_delay) return;
     for (auto& [name, machine] : machines_) {
         const auto moved = [&](TimePoint t) { return std::min(now, later(t, paused)); };
         machine.contact.last_contact = moved(machine.contact.last_contact);
@@ -271,11 +280,12 @@
     }
 }
 
-// Silent for longer than its lease. A machine reclaimed by the cloud, dead, hung or cut off: only
-// an answered release proves that nothing runs there, so it is asked for once the agent's lease
-// must have expired.
+// Returns whether the machine has been silent for longer than its lease, or than two heartbeat
+// intervals if the cloud should have reclaimed it: it was reclaimed, has failed, hangs or is
+// partitioned. Only a confirmed release proves that nothing runs on it, so the release is requested
+// once the agent's lease must have expired.
 bool MachineInventory::is_silent(const Machine& machine, TimePoint now) const {
-    const auto lease = config_.workers.lease + silence_beyond_lease;
+    const auto lease = config_.workers.lease + lease_margin;
     const auto& contact = machine.contact;
     const auto& reclaim_at = machine.lifecycle.reclaim_at;
     const auto limit = reclaim_at && *reclaim_at < now ? config_.workers.heartbeat * 2 : lease;
@@ -285,12 +295,12 @@
            between(contact.loaded_at, now) > lease;
 }
 
-bool MachineInventory::never_came_up(const Machine& machine, TimePoint now) const {
+bool MachineInventory::boot_timed_out(const Machine& machine, TimePoint now) const {
     const auto& contact = machine.contact;
     return !contact.has_reported && contact.loaded_at == TimePoint{} &&
            machine.identity.type_known &&
            between(contact.first_seen, now) >
-               catalog_[machine.identity.type].boot * boots_waited + beyond_boot;
+               catalog_[machine.identity.type].boot * max_boot_factor + boot_margin;
 }
 
 void MachineInventory::update_health(TimePoint now) {
@@ -299,8 +309,9 @@
     for (auto& [name, machine] : machines_) {
         if (machine.lifecycle.releasing) continue;
         const bool faulty_and_empty = machine.failures.at_fault && machine.assigned_tasks.empty();
-        // Guard against ran_cancelled: what cannot be reached must be gone in time.
-        if (is_silent(machine, now) || never_came_up(machine, now) || faulty_and_empty ||
+        // Guard against ran_cancelled: tasks on an unreachable machine must end within the time
+        // limit.
+        if (is_silent(machine, now) || boot_timed_out(machine, now) || faulty_and_empty ||
             must_be_released(machine, now))
             machine.lifecycle.releasing = true;
     }
@@ -308,7 +319,8 @@
 
 bool MachineInventory::must_be_released(const Machine& machine, TimePoint now) const {
     const auto limit = config_.workers.cancel * cancel_share;
-    // When orphaned tasks were cancelled is not known; it was before they were seen.
+    // The time when orphaned tasks were cancelled is unknown, but it was before they were first
+    // seen.
     const auto& orphaned_since = machine.untracked.orphaned_since;
     if (orphaned_since && between(*orphaned_since, now) > limit) return true;
     return std::any_of(machine.assigned_tasks.begin(), machine.assigned_tasks.end(),
@@ -324,10 +336,10 @@
     const auto it = machines_.find(name);
     if (it == machines_.end()) return;
     if (it->second.record.durable || it->second.record.mod_revision != 0)
-        dropping_[name] = it->second.record.mod_revision;
+        pending_record_deletions_[name] = it->second.record.mod_revision;
     machines_.erase(it);
     if (removed_.insert(name).second) removed_order_.push_back(name);
-    if (removed_order_.size() > removed_remembered) {
+    if (removed_order_.size() > max_remembered_removals) {
         removed_.erase(removed_order_.front());
         removed_order_.pop_front();
     }
@@ -336,10 +348,10 @@
 bool MachineInventory::usable(const Machine& machine, TimePoint now) const {
     return machine.fencing.confirmed && machine.record.durable && machine.identity.type_known &&
            !machine.draining() && !machine.reachability.inbound_unreachable_since &&
-           // Guard against a machine that draws work and loses it: direct calls reach it, and it
-           // reaches no controller, so its lease expires.
+           // Guard against a machine that attracts work and loses it: direct calls reach the
+           // machine, but its heartbeats reach no controller, so its lease expires.
            between(machine.contact.last_unprompted_at, now) <
-               config_.workers.heartbeat * heartbeats_missed + beyond_heartbeats;
+               config_.workers.heartbeat * max_missed_heartbeats + heartbeat_margin;
 }
 
 std::size_t MachineInventory::unconfirmed() const {
@@ -351,8 +363,8 @@
 
 bool MachineInventory::may_have_unfenced_tasks(const Job& job) const {
     if (job.accepted_this_term) return false;
-    // Guard against ran_twice after a failover: the former leader may have started this job's tasks
-    // on any recorded machine that has not shown the new fencing token yet.
+    // Guard against ran_twice after a failover: the former leader may have started tasks of this
+    // job on any recorded machine that has not reported the new fencing token yet.
     return std::any_of(machines_.begin(), machines_.end(), [&](const auto& entry) {
         const auto& machine = entry.second;
         return machine.record.durable && !machine.fencing.confirmed &&
@@ -380,7 +392,8 @@
         machine->record.durable = true;
         machine->record.mod_revision = mod_revision;
     } else {
-        dropping_[name] = mod_revision;  // released while its record was being written
+        // The machine was released while its record was being written.
+        pending_record_deletions_[name] = mod_revision;
     }
 }
 
@@ -391,8 +404,9 @@
 void MachineInventory::set_dropped_mod_revision(const std::string& name,
                                                 std::uint64_t mod_revision) {
     if (mod_revision == 0)
-        dropping_.erase(name);
-    else if (const auto it = dropping_.find(name); it != dropping_.end())
+        pending_record_deletions_.erase(name);
+    else if (const auto it = pending_record_deletions_.find(name);
+             it != pending_record_deletions_.end())
         it->second = mod_revision;
 }
 
--- a/src/core/cluster/machine_inventory.hpp
+++ b/src/core/cluster/machine_inventory.hpp
@@ -1,16 +1,18 @@
-/// Owner of the machines: which there are, what is known of each, and what proves that one is gone.
+/// Owner of the machines: which machines exist, what is known of each, and what proves that one is
+/// gone.
 ///
-/// Called by `Controller` and by reconciliation, which hands in what machines say; read by
-/// scheduling and autoscaling. Not thread-safe: the controller's caller holds its lock.
+/// Called by `Controller` and by reconciliation, which passes on agent messages; read by scheduling
+/// and autoscaling. Not thread-safe: the caller of the controller holds its lock.
 ///
-///  - The fencing token is the leader's term. A machine is fenced (*confirmed*) once a message of
-///    its own shows it; from then on its task list is the truth (docs/design.md, "Placing anew").
-///  - Only `remove` takes a machine out, and only an answered release leads there.
-///  - The two directions of the network are two facts. A heartbeat proves that the machine's
-///    messages arrive. That ours arrive is proved only by what could not be there otherwise: a
-///    fencing token that rose, a command that shows in its next heartbeat, an answered direct call
-///    (docs/failure-modes.md).
-///  - `Machine::assigned_tasks` indexes the jobs' assignments; `JobTable` changes both together.
+///  - The fencing token is the leader's term. A machine is fenced (*confirmed*) once one of its own
+///    messages carries that token. From then on its task list is authoritative (docs/design.md,
+///    "Placing anew").
+///  - Only `remove` deletes a machine, and only after its release is confirmed.
+///  - The two directions of the network are tracked separately. A heartbeat proves that messages
+///    from the machine arrive. Only evidence that cannot exist otherwise proves that messages to
+///    the machine arrive: a raised fencing token, a command reflected in the next heartbeat, or an
+///    answered direct call (docs/failure-modes.md).
+///  - `Machine::assigned_tasks` indexes the assignments of jobs; `JobTable` changes both together.
 #pragma once
 
 #include <cstdint>
@@ -33,80 +35,86 @@
 
 namespace bendspindle::core {
 
-/// All machines, by name. References to a machine hold until it is removed.
+/// All machines, indexed by name. References to a machine stay valid until it is removed.
 class MachineInventory {
   public:
     /// Both references must outlive the inventory.
     MachineInventory(const Config& config, const MachineCatalog& catalog)
         : config_(config), catalog_(catalog) {}
 
-    /// By name.
+    /// Returns all machines, indexed by name.
     std::map<std::string, Machine>& all() { return machines_; }
     const std::map<std::string, Machine>& all() const { return machines_; }
-    /// The machine must be there.
+    /// Requires that the machine exists.
     Machine& at(const std::string& name) { return machines_.at(name); }
     const Machine& at(const std::string& name) const { return machines_.at(name); }
-    /// Null where there is no such machine.
+    /// Returns null if there is no such machine.
     [[nodiscard]] Machine* find(const std::string& name);
 
-    /// Looks up every machine's type again.
+    /// Looks up the types of all machines again after a change of the catalog.
     void catalog_changed();
 
-    // Ways in which machines become known.
+    // Sources of machines.
 
-    /// From its record, after a failover.
+    /// Adds a machine from its record after a failover.
     void load(const ListedMachine& record, std::uint64_t mod_revision, TimePoint now);
-    /// Its name is all that could be read: until it is fenced or gone it may hold anything.
+    /// Adds a machine whose record is unreadable except for its name. It may run any task until it
+    /// is fenced or gone.
     void load_unreadable(const std::string& name, std::uint64_t mod_revision, TimePoint now);
-    /// From a heartbeat, which also says what it is now.
+    /// Adds or updates a machine from a heartbeat, which also describes the machine.
     Machine& record_sighting(const Heartbeat& heartbeat, TimePoint now);
-    /// From the cloud's answer to a scale-out.
+    /// Adds machines from the cloud's response to a scale-out.
     void scaled_out(const ScaleOutRequest& request, const std::vector<std::string>& names,
                     TimePoint now);
-    /// From the cloud's whole list, asked for at `asked`. Machines missing from it that should be
-    /// there are marked for release.
+    /// Applies the complete list of the cloud, which was requested at `asked`. Marks machines for
+    /// release that are missing from the list although they should be on it.
     void listed(const std::vector<ListedMachine>& machines, TimePoint asked, TimePoint now);
 
-    /// How a machine's message came: unprompted, or as the answer to a direct call.
+    /// How a message of a machine arrived: as a heartbeat, or in the answer to a direct call.
     enum class Origin : std::uint8_t { heartbeat, direct_call };
-    /// Takes over what a message newer than any before says of the machine itself.
+    /// Applies what a message says about the machine itself. The message must be newer than any
+    /// applied before.
     void observe(Machine& machine, const Heartbeat& heartbeat, Origin origin, TimePoint now);
-    /// Its message has shown this term's fencing token.
+    /// Marks the machine as fenced after a message with this term's fencing token.
     void confirm(Machine& machine, TimePoint now);
-    /// Compares a newer heartbeat with what the response to the one before commanded.
+    /// Compares a new heartbeat with the commands in the response to the previous one.
     void check_acknowledgements(Machine& machine, const Heartbeat& heartbeat, TimePoint now);
-    /// It has shown that a message of ours arrived.
+    /// Records proof that messages to the machine arrive.
     static void mark_reachable(Machine& machine);
 
-    /// Called at least once a cycle, before time is judged by: a longer pause is this controller's
-    /// own, and no machine's silence.
+    /// Moves the times of contact forward by a pause of this controller, so that no machine counts
+    /// as silent because of it. Must be called at least once a cycle, before any timeout is
+    /// evaluated.
     void keep_time(TimePoint now);
-    /// Marks for release what is silent, never came up, is at fault, or holds what must be gone.
+    /// Marks machines for release that are silent, failed to boot, are at fault, or run tasks that
+    /// must be gone.
     void update_health(TimePoint now);
-    /// Whether it holds tasks cancelled so long ago that the machine must go, whatever else holds.
+    /// Returns whether the machine runs tasks that were cancelled so long ago that it must be
+    /// released unconditionally.
     [[nodiscard]] bool must_be_released(const Machine& machine, TimePoint now) const;
-    /// Its release was answered: it is gone, and stays so whatever arrives from it later.
+    /// Removes a machine whose release is confirmed. Later messages from it are ignored.
     void remove(const std::string& name);
-    /// Whether it was removed, as far as that is remembered.
+    /// Returns whether the machine was removed. Only the most recent removals are remembered.
     [[nodiscard]] bool removed(const std::string& name) const { return removed_.contains(name); }
 
-    /// Whether tasks may be placed and started on it.
+    /// Returns whether tasks may be placed and started on the machine.
     [[nodiscard]] bool usable(const Machine& machine, TimePoint now) const;
-    /// Whether the job's user allows this machine's type, zone and kind.
+    /// Returns whether the constraints of the job allow the machine's type, zone and spot status.
     [[nodiscard]] bool allows(const JobSpec& spec, const Machine& machine) const {
         const auto& identity = machine.identity;
         return identity.type_known &&
                allowed(spec, identity.type_name, identity.zone, identity.spot);
     }
-    /// Whether a job of an older term may have tasks on machines that are not fenced yet.
+    /// Returns whether a job of an older term may have tasks on machines that are not fenced yet.
     [[nodiscard]] bool may_have_unfenced_tasks(const Job& job) const;
-    /// Number of recorded machines that have not shown this term's fencing token.
+    /// Returns the number of recorded machines that have not reported this term's fencing token.
     [[nodiscard]] std::size_t unconfirmed() const;
-    /// The machine has the job's image now; what no longer fits its cache is taken to be evicted.
+    /// Records that the machine has cached the job's image. Images that no longer fit into the
+    /// cache are assumed to be evicted.
     void note_image(Machine& machine, const Job& job);
 
-    /// Whether it exists for certain, and not only in a heartbeat, which may be the late copy of
-    /// one from a machine that a former leader has released.
+    /// Returns whether the machine certainly exists. A heartbeat alone does not prove that: it may
+    /// be a delayed copy from a machine that a former leader has released.
     [[nodiscard]] static bool certainly_exists(const Machine& machine) {
         return machine.record.durable || machine.fencing.confirmed ||
                machine.lifecycle.known_to_cloud;
@@ -114,41 +122,46 @@
 
     // Records in the key-value store.
 
-    /// Whether a record is to be written. Guard against a record for nothing: a copy of an old
-    /// heartbeat made a machine again, and work of the former term waited until it was fenced.
+    /// Returns whether a record of the machine has to be written. Guard against recording a machine
+    /// that is gone: a copy of an old heartbeat added a machine again, and jobs of the former term
+    /// waited until it was fenced.
     [[nodiscard]] bool wants_record(const Machine& machine) const {
         return !machine.record.durable && !machine.lifecycle.releasing &&
                machine.identity.type_known && machine.contact.has_reported &&
                certainly_exists(machine);
     }
-    /// Removed machines whose records are still to be deleted, with the records' mod_revisions.
-    const std::map<std::string, std::uint64_t>& records_to_drop() const { return dropping_; }
-    /// The machine's record was written.
+    /// Returns the removed machines whose records have yet to be deleted, with the mod_revisions of
+    /// the records.
+    const std::map<std::string, std::uint64_t>& records_to_drop() const {
+        return pending_record_deletions_;
+    }
+    /// Records that the record of the machine was written.
     void recorded(const std::string& name, std::uint64_t mod_revision);
-    /// The removed machine's record was deleted.
-    void record_dropped(const std::string& name) { dropping_.erase(name); }
-    /// The record's mod_revision is another than assumed.
+    /// Records that the record of a removed machine was deleted.
+    void record_dropped(const std::string& name) { pending_record_deletions_.erase(name); }
+    /// Sets the actual mod_revision of a record, where it differs from the expected one.
     void set_mod_revision(const std::string& name, std::uint64_t mod_revision);
-    /// Of a removed machine's record. `mod_revision` 0: there is no record any more.
+    /// Sets the actual mod_revision of a removed machine's record. 0 means that the record no
+    /// longer exists.
     void set_dropped_mod_revision(const std::string& name, std::uint64_t mod_revision);
 
   private:
-    TimePoint must_be_listed_from(const Machine& machine) const;
+    TimePoint listed_after(const Machine& machine) const;
     bool is_unreachable(const Machine& machine, TimePoint now) const;
     void release_unreachable(TimePoint now);
     bool is_silent(const Machine& machine, TimePoint now) const;
-    bool never_came_up(const Machine& machine, TimePoint now) const;
+    bool boot_timed_out(const Machine& machine, TimePoint now) const;
     void set_type(MachineIdentity& identity) const;
-    void describe(Machine& machine, const std::string& name, const std::string& type,
-                  const std::string& zone, bool spot) const;
+    void set_identity(Machine& machine, const std::string& name, const std::string& type,
+                      const std::string& zone, bool spot) const;
 
     const Config& config_;
     const MachineCatalog& catalog_;
     std::map<std::string, Machine> machines_;
-    std::map<std::string, std::uint64_t> dropping_;
-    std::optional<TimePoint> last_check_;            // of `keep_time`
+    std::map<std::string, std::uint64_t> pending_record_deletions_;
+    std::optional<TimePoint> last_check_;            // time of the last `keep_time`
     std::deque<TimePoint> unreachable_released_at_;  // within the last lease
-    std::set<std::string> removed_;                  // a bounded number, the newest
+    std::set<std::string> removed_;                  // the most recent removals, bounded in number
     std::deque<std::string> removed_order_;
 };
 
