--- a/src/core/reconciliation/agent_gateway.cpp
+++ b/src/core/reconciliation/agent_gateway.cpp
@@ -11,8 +11,8 @@
       failure_attribution_(inventory),
       command_planner_(config, catalog, inventory, job_table, estimates, counts_),
       direct_commands_(inventory, job_table, command_planner_, term),
-      reconciliation_(catalog, inventory, job_table, estimates, failure_attribution_, starts_,
-                      counts_) {}
+      reconciliation_(catalog, inventory, job_table, estimates, failure_attribution_,
+                      start_latency_, counts_) {}
 
 void AgentGateway::called(const DirectCommand& call, CommandOutcome outcome,
                           const Heartbeat* answer, TimePoint now) {
@@ -26,13 +26,14 @@
             direct_commands_.settle_start(*machine, command, call, outcome, answer);
     }
     if (!answer || answer->fencing_token > term_ || machine->has_seen(*answer)) return;
-    // The agent was called under a wrong agent epoch; the right one is tried at once.
+    // The call used a wrong agent epoch; it is repeated at once with the right one.
     if (answer->agent_epoch != call.agent_epoch) machine->direct_calls.last_call_at = TimePoint{};
     inventory_.observe(*machine, *answer, MachineInventory::Origin::direct_call, now);
     if (answer->fencing_token < term_) return;
     inventory_.confirm(*machine, now);
     MachineInventory::mark_reachable(*machine);
-    // What it would command goes out with the next response; nothing here depends on its arrival.
+    // These commands are discarded. The next heartbeat generates them again, and nothing here
+    // depends on their delivery.
     std::vector<TaskCommand> deferred_commands;
     reconciliation_.reconcile(*machine, *answer, Reconciliation::Source::direct_answer, now,
                               deferred_commands);
@@ -41,11 +42,12 @@
 HeartbeatResponse AgentGateway::heartbeat(const Heartbeat& heartbeat, TimePoint now) {
     if (heartbeat.fencing_token > term_) return {false, term_, {}};
     HeartbeatResponse response{true, term_, {}};
-    // A machine whose release was answered is gone; this heartbeat was held up on its way.
+    // The release of the machine is confirmed, so it is gone; this heartbeat was delayed in the
+    // network.
     if (inventory_.removed(heartbeat.machine)) return response;
-    // Guard against late heartbeats and copies: an older task list must never replace a newer one,
-    // nor an address or a type. Where the answer to a direct call has overtaken a heartbeat, the
-    // agent still takes this response as a renewal.
+    // Guard against delayed heartbeats and copies: an older task list must never replace a newer
+    // one, nor may an older address or type. If the answer to a direct call has overtaken a
+    // heartbeat, the agent still accepts this response as a lease renewal.
     if (const auto* known = inventory_.find(heartbeat.machine);
         known && known->has_seen(heartbeat)) {
         command_planner_.stop_finished_jobs(heartbeat, response.commands);
@@ -53,8 +55,8 @@
     }
     auto& machine = inventory_.record_sighting(heartbeat, now);
     inventory_.observe(machine, heartbeat, MachineInventory::Origin::heartbeat, now);
-    // Guard against ran_twice: until the machine has seen this term's token, a start of the former
-    // term may still take effect after the list was made.
+    // Guard against ran_twice: until the machine has seen this term's fencing token, a start of the
+    // former term may still take effect after the task list was made.
     if (heartbeat.fencing_token < term_) {
         command_planner_.stop_finished_jobs(heartbeat, response.commands);
         return response;
@@ -67,9 +69,9 @@
         command_planner_.drain(machine, now);
         command_planner_.unbind(machine);
     }
-    command_planner_.stop_ready(machine, now, response.commands);
+    command_planner_.add_due_stops(machine, now, response.commands);
     command_planner_.stop_finished_jobs(heartbeat, response.commands);
-    command_planner_.start_ready(machine, now, false, response.commands);
+    command_planner_.add_ready_starts(machine, now, false, response.commands);
     if (!machine.assigned_tasks.empty()) machine.lifecycle.idle_since = now;
     machine.reachability.outstanding_commands = response.commands;
     return response;
--- a/src/core/reconciliation/agent_gateway.hpp
+++ b/src/core/reconciliation/agent_gateway.hpp
@@ -1,12 +1,12 @@
-/// The place where messages of agents enter the core, and commands to them leave it. Called by
-/// `Controller`; owns the parts of reconciliation, each in its own module, and the order in which a
-/// message goes through them. Not thread-safe.
+/// Entry point for agent messages into the core, and exit point for commands to agents. Called by
+/// `Controller`. Owns the reconciliation modules and the order in which they process a message. Not
+/// thread-safe.
 ///
-/// A message is taken over only if it is newer than any before, comes from a machine that was not
-/// removed, and carries no fencing token newer than this term. Its task list counts from the moment
-/// when it shows this term's token.
+/// A message is applied only if it is newer than any before, comes from a machine that was not
+/// removed, and carries no fencing token newer than this term. Its task list is used once the
+/// machine has reported this term's fencing token.
 ///
-/// Starts travel in responses to heartbeats, which an agent executes before its next heartbeat or
+/// Starts are sent in heartbeat responses, which an agent executes before its next heartbeat or
 /// never, or in direct calls, which may arrive minutes late.
 #pragma once
 
@@ -33,49 +33,52 @@
 
 /// The response to a heartbeat.
 struct HeartbeatResponse {
-    bool entitled = true;  // false: the agent has seen a newer fencing token than this term's
+    // False if the agent has seen a newer fencing token than this term's.
+    bool entitled = true;
     std::uint64_t fencing_token = 0;
     std::vector<TaskCommand> commands;
 };
 
-/// Takes each message through the parts of reconciliation in their order.
+/// Passes each message through the reconciliation modules in order.
 class AgentGateway {
   public:
     AgentGateway(const Config& config, const MachineCatalog& catalog, MachineInventory& inventory,
                  JobTable& job_table, RuntimeEstimates& estimates, std::uint64_t term);
-    // Its parts hold references to each other.
+    // Not copyable: the members hold references to each other.
     AgentGateway(const AgentGateway&) = delete;
     AgentGateway& operator=(const AgentGateway&) = delete;
 
-    /// Takes a heartbeat over, and returns what the agent is to do.
+    /// Applies a heartbeat and returns the response with the commands for the agent.
     [[nodiscard]] HeartbeatResponse heartbeat(const Heartbeat& heartbeat, TimePoint now);
-    /// Direct calls that are due now; each must be settled by `called`. Without `may_start` they
-    /// carry no starts.
+    /// Returns the direct calls that are due; the outcome of each must be passed to `called`.
+    /// Without `may_start` the calls carry no starts.
     [[nodiscard]] std::vector<DirectCommand> direct_commands(TimePoint now, bool may_start) {
         return direct_commands_.due(now, may_start);
     }
-    /// Settles a direct call. `answer`: the heartbeat it brought back, null if there was none.
+    /// Applies the outcome of a direct call. `answer` is the heartbeat in its response, or null.
     void called(const DirectCommand& call, CommandOutcome outcome, const Heartbeat* answer,
                 TimePoint now);
-    /// Stops and unbinds what must leave machines that are draining or unreachable.
+    /// Stops and unbinds the tasks that have to leave draining or unreachable machines.
     void drain(TimePoint now) { command_planner_.drain(now); }
-    /// The release of a machine was answered: it is gone, with its tasks.
+    /// Removes a machine whose release is confirmed, together with its tasks.
     void released(const std::string& name);
-    /// Jobs to stop on their machines; see `CommandPlanner::jobs_to_end`.
+    /// Returns the jobs whose tasks have to be stopped; see `CommandPlanner::jobs_to_end`.
     [[nodiscard]] std::set<std::string> jobs_to_end() const {
         return command_planner_.jobs_to_end();
     }
     const AgentCounters& counts() const { return counts_; }
-    /// Jobs that have started since the last call.
-    [[nodiscard]] std::vector<StartLatencyBreakdown> take_started() { return starts_.take(); }
+    /// Returns the jobs that have started since the last call.
+    [[nodiscard]] std::vector<StartLatencyBreakdown> take_started() {
+        return start_latency_.take();
+    }
 
   private:
     MachineInventory& inventory_;
     JobTable& job_table_;
     const std::uint64_t term_;
-    // In the order of what refers to what: each is constructed after what it holds references to.
+    // In order of dependency: each member is constructed after those that it refers to.
     AgentCounters counts_;
-    StartLatencyTracker starts_;
+    StartLatencyTracker start_latency_;
     FailureAttribution failure_attribution_;
     CommandPlanner command_planner_;
     DirectCommands direct_commands_;
--- a/src/core/reconciliation/command_planner.cpp
+++ b/src/core/reconciliation/command_planner.cpp
@@ -8,35 +8,37 @@
     return {verb, task.job, task.index, task.attempt, {}};
 }
 
-// Guard against ran_cancelled over any sequence of leaders: each response renews the agent's lease,
-// so each stops what must end, also before the machine is fenced and whatever was commanded before.
-// Otherwise a leader that ends after its response leaves the task running for one more lease.
+// Guard against ran_cancelled across any sequence of leaders: each response renews the agent's
+// lease, so each must stop the tasks of finished jobs, even before the machine is fenced and
+// whatever was commanded before. Otherwise a leader that fails after its response leaves the task
+// running for one more lease.
 void CommandPlanner::stop_finished_jobs(const Heartbeat& heartbeat,
                                         std::vector<TaskCommand>& commands) const {
     for (const auto& task : heartbeat.tasks) {
-        if (task.state == TaskState::exited || !must_end(task.job)) continue;
+        if (task.state == TaskState::exited || !must_stop(task.job)) continue;
         const auto stop = command_for(TaskCommand::Verb::stop, task);
         if (std::find(commands.begin(), commands.end(), stop) == commands.end())
             commands.push_back(stop);
     }
 }
 
-// Guard against ran_cancelled on a machine whose heartbeats do not arrive while direct calls do:
-// cancelled work of a former term shows in their answers only, so its stops travel that way, too.
+// Guard against ran_cancelled on a machine whose heartbeats do not arrive although direct calls do:
+// cancelled tasks of a former term appear only in the answers to direct calls, so their stops are
+// sent in direct calls as well.
 void CommandPlanner::stop_orphaned_tasks(Machine& machine, TimePoint now,
                                          std::vector<TaskCommand>& commands) const {
     if (!machine.fencing.confirmed || !machine.untracked.orphaned_since) return;
-    const bool lost =
+    const bool possibly_lost =
         between(machine.untracked.orphans_stopped_at, now) > config_.workers.heartbeat * 2;
-    if (machine.untracked.orphans_stopped_at != TimePoint{} && !lost) return;
+    if (machine.untracked.orphans_stopped_at != TimePoint{} && !possibly_lost) return;
     machine.untracked.orphans_stopped_at = now;
     for (const auto& task : machine.reported_tasks)
         if (task.state != TaskState::exited && job_table_.is_orphaned(task.job))
             commands.push_back(command_for(TaskCommand::Verb::stop, task));
 }
 
-// All open jobs are in memory before the first heartbeat is handled, so an unknown one is terminal.
-bool CommandPlanner::must_end(const std::string& id) const {
+// All open jobs are in memory before the first heartbeat is handled, so an unknown job is terminal.
+bool CommandPlanner::must_stop(const std::string& id) const {
     const auto* job = job_table_.find(id);
     return job ? job->terminal.state == TerminalState::cancelled : job_table_.is_orphaned(id);
 }
@@ -48,7 +50,7 @@
             out.insert(job->spec.id);
     for (const auto& [name, machine] : inventory_.all())
         for (const auto& task : machine.reported_tasks)
-            if (task.state != TaskState::exited && must_end(task.job)) out.insert(task.job);
+            if (task.state != TaskState::exited && must_stop(task.job)) out.insert(task.job);
     return out;
 }
 
@@ -59,15 +61,16 @@
     }
 }
 
-// Guard against a gang held up until it gives itself up: its other tasks waited for one that was
-// bound to a machine that no command reached.
+// Guard against a gang that is delayed until it gives up: its other tasks waited for a task that
+// was bound to a machine that no command reached.
 void CommandPlanner::unbind(Machine& machine) {
     std::vector<std::pair<Job*, std::uint32_t>> bound;
     for (const auto& [key, task] : machine.assigned_tasks)
         if (task.assignment->stage == Assignment::Stage::bound)
             bound.push_back({task.job, key.index});
     for (const auto& [job, index] : bound) {
-        // A gang broken for an earlier entry has been unbound as a whole.
+        // If the attempt was aborted for an earlier entry, all of its bound tasks are already
+        // unassigned.
         const auto it = job->assignments.find(index);
         if (it == job->assignments.end()) continue;
         const auto attempt = it->second.attempt;
@@ -84,8 +87,8 @@
         const bool saves = job.spec.checkpoint > Seconds{0};
         if (machine.lifecycle.reclaim_at) {
             const auto left = between(now, *machine.lifecycle.reclaim_at);
-            // What ends before the machine is reclaimed may go on; what cannot save has nothing to
-            // lose by trying.
+            // A task that ends before the machine is reclaimed may continue. A task that cannot
+            // save a checkpoint loses nothing by continuing.
             if (!saves || estimates_.remaining(job, assignment, now) < left) continue;
             if (left > job.spec.save_time + config_.workers.heartbeat + Seconds{1}) continue;
         }
@@ -93,25 +96,26 @@
     }
 }
 
-void CommandPlanner::stop_ready(Machine& machine, TimePoint now,
-                                std::vector<TaskCommand>& commands) const {
+void CommandPlanner::add_due_stops(Machine& machine, TimePoint now,
+                                   std::vector<TaskCommand>& commands) const {
     if (!machine.fencing.confirmed) return;
     for (const auto& [key, task] : machine.assigned_tasks) {
         auto& assignment = *task.assignment;
         if (assignment.stage != Assignment::Stage::reported || !assignment.stopping) continue;
-        // Once stopped with grace, a task saves on its own; the command is repeated only when the
-        // response that carried it may have been lost.
-        const bool lost = between(assignment.stop_sent_at, now) > config_.workers.heartbeat * 2;
+        // A task that was stopped with a grace period saves on its own. The command is repeated
+        // only if the response that carried it may have been lost.
+        const bool possibly_lost =
+            between(assignment.stop_sent_at, now) > config_.workers.heartbeat * 2;
         if (assignment.state == TaskState::saving && assignment.grace > Seconds{0}) continue;
-        if (assignment.stop_sent_at != TimePoint{} && !lost) continue;
+        if (assignment.stop_sent_at != TimePoint{} && !possibly_lost) continue;
         assignment.stop_sent_at = now;
         commands.push_back({TaskCommand::Verb::stop, task.job->spec.id, key.index,
                             assignment.attempt, assignment.grace});
     }
 }
 
-void CommandPlanner::start_ready(Machine& machine, TimePoint now, bool direct,
-                                 std::vector<TaskCommand>& commands) {
+void CommandPlanner::add_ready_starts(Machine& machine, TimePoint now, bool direct,
+                                      std::vector<TaskCommand>& commands) {
     if (!inventory_.usable(machine, now)) return;
     struct Ready {
         std::uint32_t index;
@@ -126,7 +130,8 @@
             taken += task.job->spec.need;
     }
     if (ready.empty()) return;
-    // The ready list: the shortest-makespan pipeline's task first, ties to the longest RPM.
+    // Order of the ready list: the task of the pipeline with the shortest makespan first, ties by
+    // the longest RPM.
     std::stable_sort(ready.begin(), ready.end(), [](const Ready& a, const Ready& b) {
         const auto& x = *a.task.assignment;
         const auto& y = *b.task.assignment;
--- a/src/core/reconciliation/command_planner.hpp
+++ b/src/core/reconciliation/command_planner.hpp
@@ -1,9 +1,11 @@
-/// Decides which commands agents are due: starts of what is in a machine's ready list, stops of
-/// what is preempted, terminal or on a draining machine. Called by `AgentGateway` for responses to
-/// heartbeats and by `DirectCommands` for calls. Writes the stages `bound` and `commanded` of
-/// assignments, and when stops went out; adds to `commands` and sends nothing itself.
+/// Decides which commands are due for agents: starts of the tasks in a machine's ready list, and
+/// stops of tasks that are preempted, whose job is terminal, or whose machine is draining. Called
+/// by `AgentGateway` for heartbeat responses and by `DirectCommands` for direct calls. Writes the
+/// stages `bound` and `commanded` of assignments, and the times at which stops were sent. Adds to
+/// `commands` and sends nothing itself.
 ///
-/// Nothing starts on a machine that is not usable: not fenced, not recorded, draining, unreachable.
+/// Nothing is started on a machine that is not usable: not fenced, not recorded, draining or
+/// unreachable.
 #pragma once
 
 #include <set>
@@ -21,10 +23,10 @@
 
 namespace bendspindle::core {
 
-/// A command that concerns a reported task; a stop of this form leaves it no time to save.
+/// Returns a command for a reported task. A stop made this way has no grace period.
 [[nodiscard]] TaskCommand command_for(TaskCommand::Verb verb, const ReportedTask& task);
 
-/// What it was given must outlive it.
+/// Plans commands for agents. All constructor arguments must outlive the planner.
 class CommandPlanner {
   public:
     CommandPlanner(const Config& config, const MachineCatalog& catalog, MachineInventory& inventory,
@@ -36,29 +38,31 @@
           estimates_(estimates),
           counts_(counts) {}
 
-    /// Stops that are due and not on their way already.
-    void stop_ready(Machine& machine, TimePoint now, std::vector<TaskCommand>& commands) const;
-    /// Starts of the ready list, as far as they fit. `direct`: they go out in a direct call.
-    void start_ready(Machine& machine, TimePoint now, bool direct,
-                     std::vector<TaskCommand>& commands);
-    /// Stops of all that the heartbeat shows of cancelled and orphaned jobs.
+    /// Adds the stops that are due and not already in flight.
+    void add_due_stops(Machine& machine, TimePoint now, std::vector<TaskCommand>& commands) const;
+    /// Adds starts from the ready list, as far as the tasks fit. `direct` means that the starts are
+    /// sent in a direct call.
+    void add_ready_starts(Machine& machine, TimePoint now, bool direct,
+                          std::vector<TaskCommand>& commands);
+    /// Adds stops for all tasks of cancelled and orphaned jobs in the heartbeat.
     void stop_finished_jobs(const Heartbeat& heartbeat, std::vector<TaskCommand>& commands) const;
-    /// Stops, by direct call, of orphaned tasks.
+    /// Adds stops for orphaned tasks to a direct call.
     void stop_orphaned_tasks(Machine& machine, TimePoint now,
                              std::vector<TaskCommand>& commands) const;
-    /// Cancelled and orphaned jobs with tasks on machines, by assignment or by the last task list:
-    /// whoever renews the leases of these machines has to stop them (rule ran_cancelled).
+    /// Returns the cancelled and orphaned jobs that have tasks on machines, by assignment or by the
+    /// last task list. A controller that renews the leases of these machines has to stop the tasks
+    /// (rule ran_cancelled).
     [[nodiscard]] std::set<std::string> jobs_to_end() const;
 
-    /// Stops and unbinds what must leave machines that are draining or unreachable.
+    /// Stops and unbinds the tasks that have to leave draining or unreachable machines.
     void drain(TimePoint now);
-    /// Stops what must leave a draining machine, with time to save.
+    /// Stops the tasks that have to leave a draining machine, with time to save a checkpoint.
     void drain(Machine& machine, TimePoint now);
-    /// Bound tasks leave the machine's ready list and are placed anew.
+    /// Removes bound tasks from the machine's ready list, so that they are placed again.
     void unbind(Machine& machine);
 
   private:
-    bool must_end(const std::string& id) const;
+    bool must_stop(const std::string& id) const;
 
     const Config& config_;
     const MachineCatalog& catalog_;
--- a/src/core/reconciliation/direct_commands.cpp
+++ b/src/core/reconciliation/direct_commands.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Between two calls that carry no commands.
-constexpr Seconds call_again{3};
+// Interval between two calls to a machine that carry no commands.
+constexpr Seconds probe_interval{3};
 
 }  // namespace
 
@@ -24,16 +24,16 @@
                            {}};
         if ((machine.record.durable && !machine.fencing.confirmed) ||
             machine.reachability.inbound_unreachable_since) {
-            // Each recorded machine is called at once after a failover: a former leader that does
-            // not know it is deposed may still receive the agents' heartbeats. One that seems
-            // unreachable is called until it answers.
+            // Each recorded machine is called immediately after a failover, because a former leader
+            // that does not know that it is deposed may still receive the agents' heartbeats. A
+            // machine that seems unreachable is called until it answers.
             if (machine.direct_calls.last_call_at != TimePoint{} &&
-                between(machine.direct_calls.last_call_at, now) < call_again)
+                between(machine.direct_calls.last_call_at, now) < probe_interval)
                 continue;
         } else {
-            command_planner_.stop_ready(machine, now, call.commands);
+            command_planner_.add_due_stops(machine, now, call.commands);
             command_planner_.stop_orphaned_tasks(machine, now, call.commands);
-            if (may_start) command_planner_.start_ready(machine, now, true, call.commands);
+            if (may_start) command_planner_.add_ready_starts(machine, now, true, call.commands);
             if (call.commands.empty()) continue;
         }
         machine.direct_calls.in_progress = true;
@@ -43,7 +43,7 @@
     return out;
 }
 
-// A stop whose direct call failed travels with the next response to a heartbeat.
+// A stop whose direct call failed is sent again in the next heartbeat response.
 void DirectCommands::repeat_stop(const TaskCommand& command) {
     auto* job = job_table_.find(command.job);
     if (!job) return;
--- a/src/core/reconciliation/direct_commands.hpp
+++ b/src/core/reconciliation/direct_commands.hpp
@@ -1,7 +1,7 @@
-/// Commands that go to an agent's own address instead of waiting for its next heartbeat: which
-/// calls are due, and what the outcome of one says of the commands it carried. Called by
-/// `AgentGateway`. A call may arrive minutes late; a start whose call has no answer is taken to be
-/// possible until the machine's agent epoch changes (rule ran_twice).
+/// Commands that are sent to the address of an agent instead of waiting for its next heartbeat:
+/// which calls are due, and what the outcome of a call means for its commands. Called by
+/// `AgentGateway`. A call may arrive minutes late, so a start whose call was not answered may still
+/// take effect until the agent epoch of the machine changes (rule ran_twice).
 #pragma once
 
 #include <cstdint>
@@ -16,8 +16,8 @@
 
 namespace bendspindle::core {
 
-/// A call that is due. Without commands it raises the agent's fencing token and brings its
-/// heartbeat back.
+/// A direct call that is due. A call without commands raises the agent's fencing token and returns
+/// its heartbeat.
 struct DirectCommand {
     std::string machine;
     std::string address;
@@ -25,22 +25,23 @@
     std::uint64_t agent_epoch = 0;
     std::vector<TaskCommand> commands;
 };
-/// `unknown`: there was no answer, or none that says whether the commands were carried out.
+/// `unknown` means that there was no answer, or none that tells whether the commands were executed.
 enum class CommandOutcome : std::uint8_t { executed, rejected, unknown };
 
-/// What it was given must outlive it. At most one call for each machine is under way.
+/// Plans direct calls and applies their outcomes; at most one call to each machine is in progress.
+/// All constructor arguments must outlive the object.
 class DirectCommands {
   public:
     DirectCommands(MachineInventory& inventory, JobTable& job_table, CommandPlanner& commands,
                    std::uint64_t term)
         : inventory_(inventory), job_table_(job_table), command_planner_(commands), term_(term) {}
 
-    /// Calls that are due now; they count as made. Without `may_start` they carry no starts.
+    /// Returns the calls that are due and marks them as in progress. Without `may_start` they carry
+    /// no starts.
     [[nodiscard]] std::vector<DirectCommand> due(TimePoint now, bool may_start);
-    /// A stop that was not carried out is commanded again.
+    /// Makes a stop due again that was not executed.
     void repeat_stop(const TaskCommand& command);
-    /// What became of a start. `answer`: the heartbeat the call brought back, null if there was
-    /// none.
+    /// Applies the outcome of a start. `answer` is the heartbeat in the call's response, or null.
     void settle_start(Machine& machine, const TaskCommand& command, const DirectCommand& call,
                       CommandOutcome outcome, const Heartbeat* answer);
 
--- a/src/core/reconciliation/failure_attribution.cpp
+++ b/src/core/reconciliation/failure_attribution.cpp
@@ -7,64 +7,67 @@
 
 namespace {
 
-// A job that fails waits ever longer before the next try, up to the last of these.
-constexpr Seconds first_pause{0.5};
-constexpr Seconds longest_pause{30};
-constexpr std::uint32_t pauses_counted = 6;
-// Failures of this many jobs speak against the machine, or of more that have failed on others as
-// well and on none been done: either they are mistaken or several machines are faulty.
-constexpr double against_a_machine = 2;
-constexpr double of_a_suspect = 0.5;
+// The delay before a failed job is retried doubles with each consecutive failure, up to a maximum
+// number of failures and a maximum delay.
+constexpr Seconds initial_backoff{0.5};
+constexpr Seconds max_backoff{30};
+constexpr std::uint32_t max_backoff_failures = 6;
+// A machine is at fault if this many jobs have failed on it. Suspect jobs, which have failed on
+// other machines too and completed nowhere, count less: either the jobs are wrong or several
+// machines are faulty.
+constexpr double at_fault_weight = 2;
+constexpr double suspect_job_weight = 0.5;
 
 }  // namespace
 
-void FailureAttribution::task_done(Machine& machine, Job& job) {
-    if (!job.failures.machines.empty()) clear_job(job);
+void FailureAttribution::record_completion(Machine& machine, Job& job) {
+    if (!job.failures.machines.empty()) clear_job_failures(job);
     machine.failures.weight_by_job.clear();
-    judge(machine);
+    update_at_fault(machine);
 }
 
-// Failures of several jobs speak against the machine, failures everywhere against the job.
-void FailureAttribution::task_failed(Machine& machine, Job& job, TimePoint commanded_at,
-                                     TimePoint now) {
-    const bool suspected = job.suspect();
+// Failures of several jobs are attributed to the machine, failures on several machines to the job.
+void FailureAttribution::record_failure(Machine& machine, Job& job, TimePoint commanded_at,
+                                        TimePoint now) {
+    const bool was_suspect = job.suspect();
     job.failures.machines.insert(machine.identity.name);
-    if (job.suspect() && !suspected) weigh(job, of_a_suspect);
-    machine.failures.weight_by_job[job.spec.id] = job.suspect() ? of_a_suspect : 1;
-    judge(machine);
-    // Tasks that were started together fail together, and count as one try.
+    if (job.suspect() && !was_suspect) update_job_weight(job, suspect_job_weight);
+    machine.failures.weight_by_job[job.spec.id] = job.suspect() ? suspect_job_weight : 1;
+    update_at_fault(machine);
+    // Tasks that were started together fail together and count as one attempt.
     if (job.failures.tries_in_a_row > 0 && commanded_at < job.failures.last_at) return;
     ++job.failures.tries_in_a_row;
     job.failures.last_at = now;
-    const double doublings = std::min(job.failures.tries_in_a_row, pauses_counted) - 1.0;
+    const double doublings = std::min(job.failures.tries_in_a_row, max_backoff_failures) - 1.0;
     job.failures.retry_not_before =
-        later(now, std::min(longest_pause, first_pause * std::pow(2.0, doublings)));
+        later(now, std::min(max_backoff, initial_backoff * std::pow(2.0, doublings)));
 }
 
-// Guard against healthy machines released for a mistake in a job: its tasks fail wherever they are
-// started, and two such jobs were enough to speak against each machine they came by.
-void FailureAttribution::weigh(const Job& job, double weight) {
+// Guard against releasing healthy machines for an error in a job: its tasks fail wherever they are
+// started, and two such jobs were enough to put every machine that ran them at fault.
+void FailureAttribution::update_job_weight(const Job& job, double weight) {
     for (const auto& name : job.failures.machines) {
         auto* other = inventory_.find(name);
         if (!other) continue;
         const auto entry = other->failures.weight_by_job.find(job.spec.id);
         if (entry == other->failures.weight_by_job.end()) continue;
         entry->second = weight;
-        judge(*other);
+        update_at_fault(*other);
     }
 }
 
-// It can be done, so where it failed the machine was at fault.
-void FailureAttribution::clear_job(Job& job) {
-    weigh(job, 1);
+// A task of the job has completed, so earlier failures of the job count fully against the machines
+// on which it failed.
+void FailureAttribution::clear_job_failures(Job& job) {
+    update_job_weight(job, 1);
     job.failures.machines.clear();
     job.failures.tries_in_a_row = 0;
 }
 
-void FailureAttribution::judge(Machine& machine) {
-    double against = 0;
-    for (const auto& [id, weight] : machine.failures.weight_by_job) against += weight;
-    machine.failures.at_fault = against >= against_a_machine;
+void FailureAttribution::update_at_fault(Machine& machine) {
+    double total_weight = 0;
+    for (const auto& [id, weight] : machine.failures.weight_by_job) total_weight += weight;
+    machine.failures.at_fault = total_weight >= at_fault_weight;
 }
 
 }  // namespace bendspindle::core
--- a/src/core/reconciliation/failure_attribution.hpp
+++ b/src/core/reconciliation/failure_attribution.hpp
@@ -1,6 +1,6 @@
-/// Judges machines and jobs by tasks that fail: failures of several jobs speak against the machine,
-/// failures on several machines against the job. Owns `Machine::failures` and `Job::failures`;
-/// called by `Reconciliation` as tasks exit.
+/// Attributes task failures to machines or jobs: failures of several jobs to the machine, failures
+/// on several machines to the job. Owns `Machine::failures` and `Job::failures`; called by
+/// `Reconciliation` when tasks exit.
 #pragma once
 
 #include "core/cluster/job.hpp"
@@ -9,20 +9,20 @@
 
 namespace bendspindle::core {
 
-/// What it was given must outlive it.
+/// Maintains the failure state of jobs and machines. The inventory must outlive the object.
 class FailureAttribution {
   public:
     explicit FailureAttribution(MachineInventory& inventory) : inventory_(inventory) {}
 
-    /// A task of the job completed on the machine: nothing speaks against either any more.
-    void task_done(Machine& machine, Job& job);
-    /// A task whose start was commanded at `commanded_at` ended with an error.
-    void task_failed(Machine& machine, Job& job, TimePoint commanded_at, TimePoint now);
+    /// Records that a task of the job completed on the machine, which clears the failures of both.
+    void record_completion(Machine& machine, Job& job);
+    /// Records that a task whose start was commanded at `commanded_at` exited with an error.
+    void record_failure(Machine& machine, Job& job, TimePoint commanded_at, TimePoint now);
 
   private:
-    void weigh(const Job& job, double weight);
-    void clear_job(Job& job);
-    static void judge(Machine& machine);
+    void update_job_weight(const Job& job, double weight);
+    void clear_job_failures(Job& job);
+    static void update_at_fault(Machine& machine);
 
     MachineInventory& inventory_;
 };
--- a/src/core/reconciliation/start_latency.cpp
+++ b/src/core/reconciliation/start_latency.cpp
@@ -4,7 +4,7 @@
 
 namespace bendspindle::core {
 
-void StartLatencyTracker::note(Job& job, TimePoint now) {
+void StartLatencyTracker::record_if_started(Job& job, TimePoint now) {
     if (job.progress.started) return;
     const bool gang = job.spec.kind == Kind::gang;
     const Assignment* latest = nullptr;
@@ -18,7 +18,7 @@
     }
     if (!latest || (gang && running < job.spec.tasks)) return;
     job.progress.started = true;
-    // Adopted from a former leader: its start was not seen.
+    // Adopted from a former leader; the time of its start command is unknown.
     if (latest->commanded_at == TimePoint{}) return;
     StartLatencyBreakdown breakdown;
     breakdown.job = job.spec.id;
@@ -27,10 +27,12 @@
     breakdown.tasks = job.spec.tasks;
     breakdown.stopped_others = latest->reserved_until != TimePoint{};
     breakdown.record = between(job.accepted_at, job.record.durable_at);
-    // A bind that waits for nobody is made anew each cycle; it counts as waiting for a place.
-    const auto found = breakdown.stopped_others ? latest->bound_at : latest->commanded_at;
-    breakdown.room = between(job.record.durable_at, found);
-    breakdown.saves = between(found, latest->commanded_at);
+    // A binding that waits for no preemption is renewed in each cycle, so that time counts as
+    // waiting for capacity.
+    const auto capacity_found_at =
+        breakdown.stopped_others ? latest->bound_at : latest->commanded_at;
+    breakdown.room = between(job.record.durable_at, capacity_found_at);
+    breakdown.saves = between(capacity_found_at, latest->commanded_at);
     breakdown.heartbeat = between(latest->commanded_at, latest->reported_at);
     breakdown.image = between(latest->reported_at, now);
     breakdowns_.push_back(std::move(breakdown));
--- a/src/core/reconciliation/start_latency.hpp
+++ b/src/core/reconciliation/start_latency.hpp
@@ -1,5 +1,6 @@
-/// How long each job took from its acceptance to its start, and where that time went. Owner of the
-/// breakdowns not fetched yet; updated by `Reconciliation` when a task is first seen running.
+/// Measures how long each job took from acceptance to start, broken down by phase. Owns the
+/// breakdowns that have not been fetched yet; updated by `Reconciliation` when a task is first seen
+/// running.
 #pragma once
 
 #include <cstdint>
@@ -12,8 +13,8 @@
 
 namespace bendspindle::core {
 
-/// What the time from a job's acceptance here to its start went into, for logs and measurements: of
-/// a gang the latest of its tasks, of an array the first.
+/// Breakdown of the time from a job's acceptance by this controller to its start, for logs and
+/// measurements. Describes the last task of a gang, or the first task of an array.
 struct StartLatencyBreakdown {
     std::string job;
     std::string job_class;
@@ -21,19 +22,20 @@
     std::uint32_t tasks = 0;
     bool stopped_others = false;
     Seconds record{0};     // until the job was durable
-    Seconds room{0};       // until a place was found, or others were preempted for it
-    Seconds saves{0};      // until those had saved and gone
+    Seconds room{0};       // until a machine was found or tasks were preempted
+    Seconds saves{0};      // until the preempted tasks had saved and exited
     Seconds heartbeat{0};  // until the machine reported the task
-    Seconds image{0};      // until it ran: its image, and the others of its gang
+    Seconds image{0};      // until the task ran: its image was fetched, and its gang was complete
     Seconds total() const { return record + room + saves + heartbeat + image; }
 };
 
-/// Each job is broken down once, when it starts for the first time in this term.
+/// Records one breakdown for each job, when the job starts for the first time in this term.
 class StartLatencyTracker {
   public:
-    /// A task of the job was seen running for the first time.
-    void note(Job& job, TimePoint now);
-    /// Jobs that have started since the last call.
+    /// Called when a task of the job is first seen running. Records the breakdown once the job has
+    /// started.
+    void record_if_started(Job& job, TimePoint now);
+    /// Returns the jobs that have started since the last call.
     [[nodiscard]] std::vector<StartLatencyBreakdown> take() {
         return std::exchange(breakdowns_, {});
     }
--- a/src/core/reconciliation/task_reconciliation.cpp
+++ b/src/core/reconciliation/task_reconciliation.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-bool is_placement(const Job& job, const Machine& machine, const ReportedTask& task) {
+bool matches_assignment(const Job& job, const Machine& machine, const ReportedTask& task) {
     const auto it = job.assignments.find(task.index);
     return it != job.assignments.end() && it->second.machine == machine.identity.name &&
            it->second.attempt == task.attempt && it->second.stage != Assignment::Stage::bound;
@@ -14,9 +14,9 @@
 
 }  // namespace
 
-// Most heartbeats say what the one before said. They change nothing unless a command is on its way
-// or an exited task waits for its done-set.
-bool Reconciliation::nothing_new(const Machine& machine, const Heartbeat& heartbeat) const {
+// Most heartbeats repeat the previous one. They change nothing unless a command is in flight or an
+// exited task waits for its done-set.
+bool Reconciliation::is_unchanged(const Machine& machine, const Heartbeat& heartbeat) const {
     const auto settled = [](const auto& entry) {
         return entry.second.assignment->stage == Assignment::Stage::reported;
     };
@@ -29,14 +29,14 @@
 
 void Reconciliation::reconcile(Machine& machine, const Heartbeat& heartbeat, Source source,
                                TimePoint now, std::vector<TaskCommand>& commands) {
-    if (nothing_new(machine, heartbeat)) return;
+    if (is_unchanged(machine, heartbeat)) return;
     machine.reported_tasks = heartbeat.tasks;
     Seen seen;
     for (const auto& task : heartbeat.tasks) reconcile_task(machine, task, now, seen, commands);
     std::vector<TaskKey> assigned;
     for (const auto& [key, task] : machine.assigned_tasks) assigned.push_back(key);
-    settle_absent(machine, assigned, heartbeat, source, seen, now, commands);
-    account_for_untracked(machine, now);
+    reconcile_absent(machine, assigned, heartbeat, source, seen, now, commands);
+    update_untracked(machine, now);
     std::set<std::uint64_t> serials;
     for (const auto& key : assigned) serials.insert(key.job_serial);
     for (const auto serial : serials) {
@@ -49,14 +49,15 @@
                                     Seen& seen, std::vector<TaskCommand>& commands) {
     auto* job = job_table_.find(task.job);
     const bool exited = task.state == TaskState::exited;
-    // Guard against work stopped for its record: the job is open, only its record is not
-    // understood here; another version of the controller may understand it.
+    // Guard against stopping tasks because their job's record is unreadable: the job is open, and
+    // another version of the controller may be able to read the record.
     if (!job && job_table_.quarantined(task.job)) return;
-    // All open jobs are in memory before the first heartbeat is handled, so an unknown one is
-    // terminal, and nothing of it is wanted.
+    // All open jobs are in memory before the first heartbeat is handled, so an unknown job is
+    // terminal and its tasks are stopped.
     if (!job || task.index >= job->spec.tasks) {
-        // Guard against ran_cancelled: a copy of its start in a direct call may still arrive, half
-        // a minute after the cancellation, and would start it had the agent forgotten the attempt.
+        // Guard against ran_cancelled: a copy of the task's start in a direct call may still arrive
+        // half a minute after the cancellation, and would start the task again if the agent had
+        // forgotten the attempt.
         if (exited && machine.direct_calls.unanswered_starts.contains({task.job, task.attempt}))
             return;
         commands.push_back(
@@ -64,19 +65,19 @@
         return;
     }
     job->last_attempt = std::max(job->last_attempt, task.attempt);
-    const bool ours = is_placement(*job, machine, task);
+    const bool assigned_here = matches_assignment(*job, machine, task);
     if (exited) {
-        if (ours) seen.insert({job->serial, task.index});
+        if (assigned_here) seen.insert({job->serial, task.index});
         reconcile_exit(machine, *job, task, now, commands);
         return;
     }
     const auto it = job->assignments.find(task.index);
-    if (!ours && it != job->assignments.end()) {
+    if (!assigned_here && it != job->assignments.end()) {
         commands.push_back(command_for(TaskCommand::Verb::stop, task));
         return;
     }
     seen.insert({job->serial, task.index});
-    if (ours) {
+    if (assigned_here) {
         auto& assignment = it->second;
         if (assignment.stage != Assignment::Stage::reported)
             assignment.since = assignment.reported_at = now;
@@ -86,7 +87,7 @@
         assignment.state = task.state;
         if (task.state == TaskState::running && !was_running) {
             assignment.running_since = now;
-            starts_.note(*job, now);
+            start_latency_.record_if_started(*job, now);
         }
     } else {
         adopt(machine, *job, task, now);
@@ -96,22 +97,23 @@
 
 void Reconciliation::reconcile_exit(Machine& machine, Job& job, const ReportedTask& task,
                                     TimePoint now, std::vector<TaskCommand>& commands) {
-    task_exited(machine, job, task, now);
+    apply_exit(machine, job, task, now);
     const bool done = task.cause == ExitCause::done;
-    // Guard against repeated work: a result may be forgotten only when the done-set that
-    // holds it is durable.
-    const bool keep =
+    // Guard against repeated work: a result may be forgotten only when the done-set that contains
+    // it is durable.
+    const bool awaiting_done_set =
         done && !job.is_terminal() && job.progress.phase[task.index] != TaskPhase::durable;
-    const bool last = done && job.terminal.state == TerminalState::done && !job.terminal.durable;
+    const bool awaiting_terminal_write =
+        done && job.terminal.state == TerminalState::done && !job.terminal.durable;
     const bool may_start_again =
         machine.direct_calls.unanswered_starts.contains({task.job, task.attempt});
-    if (!keep && !last && !may_start_again)
+    if (!awaiting_done_set && !awaiting_terminal_write && !may_start_again)
         commands.push_back(command_for(TaskCommand::Verb::acknowledge, task));
 }
 
-// Guard against ran_twice after a failover: whatever a fenced machine runs takes the task's place,
-// wanted or not, so that nothing starts elsewhere before it is gone. This holds while the catalog
-// is not read yet, too: the type is judged only when known.
+// Guard against ran_twice after a failover: every task that a fenced machine runs is assigned to
+// that machine, even if it is to be stopped, so that the task starts nowhere else before it is
+// gone. This also holds before the catalog is read: the type is checked only if it is known.
 void Reconciliation::adopt(Machine& machine, Job& job, const ReportedTask& task, TimePoint now) {
     const bool same_gang =
         job.spec.kind != Kind::gang ||
@@ -130,10 +132,10 @@
     job_table_.assign(machine, job, task.index, assignment);
 }
 
-// What is assigned to the machine and missing from its task list.
-void Reconciliation::settle_absent(Machine& machine, const std::vector<TaskKey>& assigned,
-                                   const Heartbeat& heartbeat, Source source, const Seen& seen,
-                                   TimePoint now, std::vector<TaskCommand>& commands) {
+// Handles tasks that are assigned to the machine but missing from its task list.
+void Reconciliation::reconcile_absent(Machine& machine, const std::vector<TaskKey>& assigned,
+                                      const Heartbeat& heartbeat, Source source, const Seen& seen,
+                                      TimePoint now, std::vector<TaskCommand>& commands) {
     for (const auto& key : assigned) {
         const auto entry = machine.assigned_tasks.find(key);
         if (seen.contains(key) || entry == machine.assigned_tasks.end()) continue;
@@ -142,8 +144,8 @@
         if (assignment.stage == Assignment::Stage::bound) continue;
         const bool same_agent_epoch = heartbeat.agent_epoch == assignment.started_in_agent_epoch;
         if (assignment.direct_start_unsettled && same_agent_epoch) {
-            // Once the call is given up, the same start is repeated in a response: the agent then
-            // has the attempt, and a late copy of the call does nothing.
+            // Once the direct call has failed, the same start is repeated in a heartbeat response.
+            // The agent then knows the attempt, so a late copy of the call has no effect.
             if (!machine.direct_calls.in_progress && !job.is_terminal() && !assignment.stopping)
                 commands.push_back(
                     {TaskCommand::Verb::start, job.spec.id, key.index, assignment.attempt, {}});
@@ -151,11 +153,11 @@
         }
         const auto attempt = assignment.attempt;
         if (assignment.stage == Assignment::Stage::commanded) {
-            // Guard against ran_twice: the answer to a direct call may overtake the response to a
-            // heartbeat, and the start that the latter carries is still to come.
+            // Guard against ran_twice: the answer to a direct call may overtake the heartbeat
+            // response that carries the start, which may still take effect.
             if (source == Source::direct_answer && same_agent_epoch) continue;
-            // The agent sent this heartbeat after it took or gave up the response with the start,
-            // so the start has not happened and never will.
+            // The agent sent this heartbeat after it had processed or given up the response with
+            // the start, so the start has not taken effect and never will.
             ++counts_.refused_starts;
             if (!job.is_terminal() && !assignment.stopping && job.spec.kind != Kind::gang) {
                 assignment.stage = Assignment::Stage::bound;
@@ -172,7 +174,7 @@
     }
 }
 
-void Reconciliation::account_for_untracked(Machine& machine, TimePoint now) const {
+void Reconciliation::update_untracked(Machine& machine, TimePoint now) const {
     machine.untracked.resources = Resources{};
     machine.untracked.has_unknown_tasks = false;
     bool orphaned = false;
@@ -192,34 +194,35 @@
         machine.untracked.orphaned_since = now;
     }
     if (!machine.untracked.has_unknown_tasks || !machine.identity.type_known) return;
-    // What a task of an unknown job takes is not known: all that is left, until it is gone.
+    // The resources of a task of an unknown job are not known: it is assumed to use everything that
+    // is left until it is gone.
     machine.untracked.resources = catalog_[machine.identity.type].size;
     for (const auto& [key, task] : machine.assigned_tasks)
         machine.untracked.resources -= task.job->spec.need;
 }
 
-void Reconciliation::task_exited(Machine& machine, Job& job, const ReportedTask& task,
-                                 TimePoint now) {
-    const bool ours = is_placement(job, machine, task);
+void Reconciliation::apply_exit(Machine& machine, Job& job, const ReportedTask& task,
+                                TimePoint now) {
+    const bool assigned_here = matches_assignment(job, machine, task);
     if (task.cause == ExitCause::done) {
-        if (ours) {
+        if (assigned_here) {
             const auto& assignment = job.assignments.at(task.index);
             if (assignment.stage == Assignment::Stage::reported &&
                 assignment.state == TaskState::running)
                 estimates_.ran(job, between(assignment.running_since, now));
             job_table_.unassign(job, task.index);
         }
-        failure_attribution_.task_done(machine, job);
+        failure_attribution_.record_completion(machine, job);
         inventory_.note_image(machine, job);
         job_table_.complete(job, task.index, now);
         return;
     }
-    if (!ours) return;
+    if (!assigned_here) return;
     const auto commanded_at = job.assignments.at(task.index).commanded_at;
     job_table_.unassign(job, task.index);
     if (task.cause == ExitCause::error) {
         ++counts_.errors;
-        failure_attribution_.task_failed(machine, job, commanded_at, now);
+        failure_attribution_.record_failure(machine, job, commanded_at, now);
     }
     if (!job.is_terminal()) job_table_.break_gang(job, task.attempt);
 }
--- a/src/core/reconciliation/task_reconciliation.hpp
+++ b/src/core/reconciliation/task_reconciliation.hpp
@@ -1,9 +1,9 @@
-/// Takes a machine's task list over into the jobs' assignments: what runs, what has exited, what is
-/// no longer there, and what is there without an assignment. Called by `AgentGateway` with messages
-/// of fenced machines, each newer than any before.
+/// Applies the task list of a machine to the assignments of jobs: tasks that run, have exited, are
+/// missing, or run without an assignment. Called by `AgentGateway` with messages of fenced
+/// machines, each newer than any before.
 ///
-/// A task is idle again only when such a list shows it gone or its machine is proven gone (rule
-/// ran_twice; docs/design.md, "Placing anew").
+/// A task becomes idle again only if such a list shows that it is gone, or if its machine is proven
+/// gone (rule ran_twice; docs/design.md, "Placing anew").
 #pragma once
 
 #include <cstdint>
@@ -23,49 +23,51 @@
 
 namespace bendspindle::core {
 
-/// What it was given must outlive it.
+/// Applies task lists. All constructor arguments must outlive the object.
 class Reconciliation {
   public:
-    /// How a task list came: in a heartbeat, or in the answer to a direct call between two of them.
+    /// How a task list arrived: in a heartbeat, or in the answer to a direct call between
+    /// heartbeats.
     enum class Source : std::uint8_t { heartbeat, direct_answer };
 
     Reconciliation(const MachineCatalog& catalog, MachineInventory& inventory, JobTable& job_table,
                    RuntimeEstimates& estimates, FailureAttribution& failures,
-                   StartLatencyTracker& starts, AgentCounters& counts)
+                   StartLatencyTracker& start_latency, AgentCounters& counts)
         : catalog_(catalog),
           inventory_(inventory),
           job_table_(job_table),
           estimates_(estimates),
           failure_attribution_(failures),
-          starts_(starts),
+          start_latency_(start_latency),
           counts_(counts) {}
 
-    /// The machine is fenced and the task list newer than any before. Adds the commands that follow
-    /// from it: tasks to stop or acknowledge, and starts to repeat.
+    /// Applies the task list in `heartbeat`. Requires that the machine is fenced and that the list
+    /// is newer than any before. Adds the resulting commands: tasks to stop or acknowledge, and
+    /// starts to repeat.
     void reconcile(Machine& machine, const Heartbeat& heartbeat, Source source, TimePoint now,
                    std::vector<TaskCommand>& commands);
 
   private:
     using Seen = std::set<TaskKey>;
 
-    bool nothing_new(const Machine& machine, const Heartbeat& heartbeat) const;
+    bool is_unchanged(const Machine& machine, const Heartbeat& heartbeat) const;
     void reconcile_task(Machine& machine, const ReportedTask& task, TimePoint now, Seen& seen,
                         std::vector<TaskCommand>& commands);
     void reconcile_exit(Machine& machine, Job& job, const ReportedTask& task, TimePoint now,
                         std::vector<TaskCommand>& commands);
     void adopt(Machine& machine, Job& job, const ReportedTask& task, TimePoint now);
-    void settle_absent(Machine& machine, const std::vector<TaskKey>& assigned,
-                       const Heartbeat& heartbeat, Source source, const Seen& seen, TimePoint now,
-                       std::vector<TaskCommand>& commands);
-    void account_for_untracked(Machine& machine, TimePoint now) const;
-    void task_exited(Machine& machine, Job& job, const ReportedTask& task, TimePoint now);
+    void reconcile_absent(Machine& machine, const std::vector<TaskKey>& assigned,
+                          const Heartbeat& heartbeat, Source source, const Seen& seen,
+                          TimePoint now, std::vector<TaskCommand>& commands);
+    void update_untracked(Machine& machine, TimePoint now) const;
+    void apply_exit(Machine& machine, Job& job, const ReportedTask& task, TimePoint now);
 
     const MachineCatalog& catalog_;
     MachineInventory& inventory_;
     JobTable& job_table_;
     RuntimeEstimates& estimates_;
     FailureAttribution& failure_attribution_;
-    StartLatencyTracker& starts_;
+    StartLatencyTracker& start_latency_;
     AgentCounters& counts_;
 };
 
