--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -1,9 +1,9 @@
-/// The core's only entrance: messages, requests and answers of the cloud and the key-value store go
-/// in, decisions come out. Owns the modules and their order; each call is handed to the one it
-/// concerns.
+/// The interface of the core: agent messages, user requests and responses of the cloud and the
+/// key-value store go in, decisions come out. Owns the modules and their order, and delegates each
+/// call to the responsible one.
 ///
-/// No clock, thread, input or output: time is passed in, and the caller (`state`'s leader state)
-/// holds the lock. One instance lives for one term of one leader.
+/// Has no clock, threads or I/O: the current time is passed in, and the caller (the leader state in
+/// `state`) holds the lock. An instance lives for one term of one leader.
 #pragma once
 
 #include <cstdint>
@@ -38,19 +38,20 @@
 class Controller {
   public:
     Controller(Config config, std::uint64_t term);
-    // Its modules hold references to each other.
+    // Not copyable: the modules hold references to each other.
     Controller(const Controller&) = delete;
     Controller& operator=(const Controller&) = delete;
 
     [[nodiscard]] std::uint64_t term() const { return term_; }
 
-    // Failover: what the key-value store holds. All of it is loaded before the first heartbeat.
+    // Failover: the contents of the key-value store, loaded completely before the first heartbeat.
 
-    /// The cloud's catalog; until it is known nothing is placed or scaled.
+    /// Sets the cloud's catalog. Nothing is placed or scaled before.
     void set_types(std::vector<MachineType> types);
     void load_job(const JobRecord& record, std::uint64_t mod_revision, TimePoint now);
     void load_machine(const ListedMachine& record, std::uint64_t mod_revision, TimePoint now);
-    /// Records that cannot be read: what they are of is left alone, and everything else goes on.
+    /// Registers records that cannot be read. Their jobs and machines are left alone; everything
+    /// else continues.
     void load_unreadable_machine(const std::string& name, std::uint64_t mod_revision,
                                  TimePoint now);
     void quarantine(const std::string& job) { job_table_.quarantine(job); }
@@ -58,84 +59,87 @@
         return job_table_.quarantined(job);
     }
 
-    /// A job that another controller has accepted in this term. False: it was known already.
+    /// Adopts a job that another controller has accepted in this term. Returns false if the job is
+    /// already known.
     bool adopt(const JobRecord& record, std::uint64_t mod_revision, TimePoint now);
 
-    // Users.
+    // User requests.
 
-    /// Whether such a job could ever run.
+    /// Returns whether such a job could ever run.
     [[nodiscard]] Verdict check(const JobSpec& spec) const;
     [[nodiscard]] bool knows(const std::string& id) const { return job_table_.knows(id); }
-    /// Takes a new job; its record is written next. False: the id was known already.
+    /// Accepts a new job, whose record is written next. Returns false if the id is already known.
     bool accept(const JobSpec& spec, WallTime submitted, TimePoint now);
-    /// Nothing where the job, or its terminal state, is not durable yet or not known.
+    /// Returns nothing if the job is unknown, or if the job or its terminal state is not durable
+    /// yet.
     [[nodiscard]] std::optional<JobStatus> status(const std::string& id) const {
         return job_table_.status(id);
     }
-    /// Whether its record is in the key-value store.
+    /// Returns whether the job's record is in the key-value store.
     [[nodiscard]] bool durable(const std::string& id) const;
-    /// Whether tasks of it may be on machines that have not shown this term's fencing token.
+    /// Returns whether tasks of the job may be on machines that have not reported this term's
+    /// fencing token.
     [[nodiscard]] bool may_have_unfenced_tasks(const std::string& id) const;
-    /// Jobs with tasks on machines whose user may have been answered, by this leader or a former
-    /// one, that they are cancelled.
+    /// Returns the jobs that have tasks on machines and may have been reported to their users as
+    /// cancelled, by this leader or a former one.
     [[nodiscard]] std::set<std::string> jobs_to_end() const { return agents_.jobs_to_end(); }
-    /// Whether its acceptance here met a record that was there before.
+    /// Returns whether the job's first write found a record that already existed.
     [[nodiscard]] bool met_existing_record(const std::string& id) const;
-    /// Marks a job as cancelled; its record is written next. False: it is done already or unknown.
+    /// Cancels a job, whose record is written next. Returns false if the job is done or unknown.
     bool cancel(const std::string& id, TimePoint now) { return job_table_.cancel(id, now); }
-    /// A write met the record of this terminal state in the key-value store.
+    /// Applies a terminal state that a write found in the key-value store.
     void finished_by_record(const std::string& id, TerminalState terminal_state, TimePoint now) {
         job_table_.finished_by_record(id, terminal_state, now);
     }
-    /// The job's first write met a record that another controller had written before.
+    /// Replaces a job whose first write found a record of another controller by that record.
     void adopt_existing_record(const JobRecord& record, std::uint64_t mod_revision, TimePoint now) {
         job_table_.adopt_existing_record(record, mod_revision, now);
     }
 
     // Agents (`AgentGateway`).
 
-    /// Takes a heartbeat over, and returns what the agent is to do.
+    /// Applies a heartbeat and returns the response with the commands for the agent.
     HeartbeatResponse heartbeat(const Heartbeat& heartbeat, TimePoint now);
-    /// Direct calls that are due now; each must be settled by `called`. Without `may_start` they
-    /// carry no starts.
+    /// Returns the direct calls that are due; the outcome of each must be passed to `called`.
+    /// Without `may_start` the calls carry no starts.
     [[nodiscard]] std::vector<DirectCommand> direct_commands(TimePoint now, bool may_start = true);
-    /// Settles a direct call. `answer`: the heartbeat it brought back, null if there was none.
+    /// Applies the outcome of a direct call. `answer` is the heartbeat in its response, or null.
     void called(const DirectCommand& call, CommandOutcome outcome, const Heartbeat* answer,
                 TimePoint now);
 
-    /// The placement cycle: once each `Config::cycle`, and when something frees up.
+    /// Runs the placement cycle. Called every `Config::cycle` and whenever resources become free.
     void cycle(TimePoint now);
 
     // The cloud (`Autoscaler`, `MachineInventory`).
 
-    /// What to scale out and in now.
+    /// Returns the machines to scale out and in now.
     [[nodiscard]] ScalingPlan plan_scaling(TimePoint now);
-    /// The cloud has answered a scale-out with these machines, fewer than asked for perhaps.
+    /// Applies the cloud's response to a scale-out, which may return fewer machines than requested.
     void scaled_out(const ScaleOutRequest& request, const std::vector<std::string>& names,
                     TimePoint now);
-    /// The cloud has answered the release of these machines: they are gone.
+    /// Removes machines whose release the cloud has confirmed.
     void released(const std::vector<std::string>& names);
-    /// The cloud's whole list, asked for at `asked`.
+    /// Applies the complete machine list of the cloud, which was requested at `asked`.
     void listed(const std::vector<ListedMachine>& machines, TimePoint asked, TimePoint now);
 
-    // Writing (`WriteQueue`).
+    // Record writes (`WriteQueue`).
 
-    /// Records to be written now, urgent ones first, up to a number of operations.
-    [[nodiscard]] std::vector<RecordWrite> changes(std::size_t most_operations,
-                                                   TimePoint now) const;
-    /// They are about to be written. Returns the jobs whose terminal state is sent for the first
-    /// time; until it is known what became of that, no other state of theirs is answered.
-    std::vector<std::string> sent(const std::vector<RecordWrite>& changes);
-    /// The only write so far of these jobs' terminal states was certainly not carried out.
+    /// Returns the record writes that are due, the most urgent first, up to a number of operations.
+    [[nodiscard]] std::vector<RecordWrite> changes(std::size_t max_operations, TimePoint now) const;
+    /// Records that the writes are about to be sent. Returns the jobs whose terminal state is sent
+    /// for the first time. Until the outcome is known, no other state of these jobs is reported.
+    std::vector<std::string> sent(const std::vector<RecordWrite>& writes);
+    /// Records that the only write so far of these jobs' terminal states was certainly not carried
+    /// out.
     void rejected(const std::vector<std::string>& terminal_states);
-    /// They were written, under this mod_revision.
-    void committed(const std::vector<RecordWrite>& changes, std::uint64_t mod_revision,
+    /// Records that the writes succeeded with this mod_revision.
+    void committed(const std::vector<RecordWrite>& writes, std::uint64_t mod_revision,
                    TimePoint now);
-    /// The record's mod_revision is another than assumed.
+    /// Sets the actual mod_revision of a record, where it differs from the expected one.
     void set_mod_revision(RecordWrite::Type type, const std::string& id,
                           std::uint64_t mod_revision);
-    /// Until then a former leader may still answer users what it knew (`leadership`), so that no
-    /// terminal state is written.
+    /// Delays all writes of terminal states. Until the given time a former leader may still answer
+    /// users from its own state (`leadership`).
     void hold_terminal_states_until(TimePoint until) {
         write_queue_.hold_terminal_states_until(until);
     }
@@ -145,13 +149,13 @@
     const std::map<std::string, Machine>& machines() const { return inventory_.all(); }
     const JobTable::Jobs& jobs() const { return job_table_.all(); }
     const AgentCounters& counts() const { return agents_.counts(); }
-    /// Jobs that have started since the last call.
+    /// Returns the jobs that have started since the last call.
     [[nodiscard]] std::vector<StartLatencyBreakdown> take_started() {
         return agents_.take_started();
     }
 
   private:
-    // In the order of what refers to what: each is constructed after what it holds references to.
+    // In order of dependency: each member is constructed after those that it refers to.
     const Config config_;
     const std::uint64_t term_;
     MachineCatalog catalog_;
--- a/src/core/write_queue.cpp
+++ b/src/core/write_queue.cpp
@@ -4,101 +4,103 @@
 
 namespace {
 
-// Completions within this time are written together.
-constexpr Seconds done_set_pause{0.8};
-// The terminal record takes the open one's place: two operations.
-constexpr std::size_t operations_of_terminal_state = 2;
+// Task completions within this time are written together.
+constexpr Seconds done_set_delay{0.8};
+// The terminal record replaces the open one, which takes two operations.
+constexpr std::size_t terminal_state_operations = 2;
 
 }  // namespace
 
-// Collects writes up to a number of operations.
-class WriteQueue::Gathering {
+// Collects writes up to a maximum number of operations.
+class WriteQueue::WriteBatch {
   public:
-    explicit Gathering(std::size_t most) : most_(most) {}
-    // False: it is full, and takes no more of anything, so that the order is kept.
-    bool add(RecordWrite change, std::size_t operations = 1) {
-        full_ = full_ || operations_ + operations > most_;
+    explicit WriteBatch(std::size_t max_operations) : max_operations_(max_operations) {}
+    // Returns false if the write does not fit. No further writes are accepted then, which preserves
+    // their order.
+    bool add(RecordWrite write, std::size_t operations = 1) {
+        full_ = full_ || operations_ + operations > max_operations_;
         if (full_) return false;
         operations_ += operations;
-        writes_.push_back(std::move(change));
+        writes_.push_back(std::move(write));
         return true;
     }
     bool full() const { return full_; }
     std::vector<RecordWrite> take() { return std::move(writes_); }
 
   private:
-    std::size_t most_;
+    std::size_t max_operations_;
     std::size_t operations_ = 0;
     bool full_ = false;
     std::vector<RecordWrite> writes_;
 };
 
-bool WriteQueue::belongs(const Job& job, Pass pass, TimePoint now) const {
+bool WriteQueue::is_due(const Job& job, Pass pass, TimePoint now) const {
     if (job.record.version == job.record.durable_version) return false;
-    if (job.is_terminal()) return pass == Pass::terminal_states && now >= terminal_states_from_;
+    if (job.is_terminal())
+        return pass == Pass::terminal_states && now >= terminal_states_not_before_;
     if (!job.record.durable) return pass == Pass::new_jobs;
-    return pass == Pass::done_sets && between(job.record.changed_at, now) >= done_set_pause;
+    return pass == Pass::done_sets && between(job.record.changed_at, now) >= done_set_delay;
 }
 
-void WriteQueue::gather_jobs(Gathering& gathering, Pass pass, TimePoint now) const {
+void WriteQueue::add_jobs(WriteBatch& batch, Pass pass, TimePoint now) const {
     for (const auto& [serial, job] : job_table_.all()) {
-        if (!belongs(*job, pass, now)) continue;
-        RecordWrite change;
-        change.type =
+        if (!is_due(*job, pass, now)) continue;
+        RecordWrite write;
+        write.type =
             job->is_terminal() ? RecordWrite::Type::finish_job : RecordWrite::Type::put_job;
-        change.id = job->spec.id;
-        change.version = job->record.version;
-        change.mod_revision = job->record.mod_revision;
-        change.job = to_record(*job, config_.name);
-        if (!gathering.add(std::move(change),
-                           job->is_terminal() ? operations_of_terminal_state : 1))
+        write.id = job->spec.id;
+        write.version = job->record.version;
+        write.mod_revision = job->record.mod_revision;
+        write.job = to_record(*job, config_.name);
+        if (!batch.add(std::move(write), job->is_terminal() ? terminal_state_operations : 1))
             return;
     }
 }
 
-void WriteQueue::gather_machines(Gathering& gathering) const {
+void WriteQueue::add_machines(WriteBatch& batch) const {
     for (const auto& [name, machine] : inventory_.all()) {
-        // Recorded once it is up and its address is known: before that nothing can start there.
+        // A machine is recorded once it is up and its address is known; nothing can start there
+        // before.
         if (!inventory_.wants_record(machine)) continue;
-        RecordWrite change;
-        change.type = RecordWrite::Type::put_machine;
-        change.id = name;
-        change.mod_revision = machine.record.mod_revision;
-        change.machine = {name,
-                          machine.identity.address,
-                          machine.identity.type_name,
-                          machine.identity.zone,
-                          machine.identity.spot,
-                          MachineStage::running,
-                          Seconds{0}};
-        if (!gathering.add(std::move(change))) return;
+        RecordWrite write;
+        write.type = RecordWrite::Type::put_machine;
+        write.id = name;
+        write.mod_revision = machine.record.mod_revision;
+        write.machine = {name,
+                         machine.identity.address,
+                         machine.identity.type_name,
+                         machine.identity.zone,
+                         machine.identity.spot,
+                         MachineStage::running,
+                         Seconds{0}};
+        if (!batch.add(std::move(write))) return;
     }
     for (const auto& [name, mod_revision] : inventory_.records_to_drop()) {
-        RecordWrite change;
-        change.type = RecordWrite::Type::drop_machine;
-        change.id = name;
-        change.mod_revision = mod_revision;
-        if (!gathering.add(std::move(change))) return;
+        RecordWrite write;
+        write.type = RecordWrite::Type::drop_machine;
+        write.id = name;
+        write.mod_revision = mod_revision;
+        if (!batch.add(std::move(write))) return;
     }
 }
 
-std::vector<RecordWrite> WriteQueue::due(std::size_t most_operations, TimePoint now) const {
-    Gathering gathering(most_operations);
-    gather_jobs(gathering, Pass::terminal_states, now);
-    if (!gathering.full()) gather_jobs(gathering, Pass::new_jobs, now);
-    if (!gathering.full()) gather_machines(gathering);
-    if (!gathering.full()) gather_jobs(gathering, Pass::done_sets, now);
-    return gathering.take();
+std::vector<RecordWrite> WriteQueue::due(std::size_t max_operations, TimePoint now) const {
+    WriteBatch batch(max_operations);
+    add_jobs(batch, Pass::terminal_states, now);
+    if (!batch.full()) add_jobs(batch, Pass::new_jobs, now);
+    if (!batch.full()) add_machines(batch);
+    if (!batch.full()) add_jobs(batch, Pass::done_sets, now);
+    return batch.take();
 }
 
-std::vector<std::string> WriteQueue::sent(const std::vector<RecordWrite>& changes) {
+std::vector<std::string> WriteQueue::sent(const std::vector<RecordWrite>& writes) {
     std::vector<std::string> out;
-    for (const auto& change : changes) {
-        if (change.type != RecordWrite::Type::finish_job) continue;
-        auto* job = job_table_.find(change.id);
+    for (const auto& write : writes) {
+        if (write.type != RecordWrite::Type::finish_job) continue;
+        auto* job = job_table_.find(write.id);
         if (!job || job->terminal.sent) continue;
         job->terminal.sent = true;
-        out.push_back(change.id);
+        out.push_back(write.id);
     }
     return out;
 }
@@ -108,17 +110,17 @@
         if (auto* job = job_table_.find(id)) job->terminal.sent = false;
 }
 
-void WriteQueue::committed(const std::vector<RecordWrite>& changes, std::uint64_t mod_revision,
+void WriteQueue::committed(const std::vector<RecordWrite>& writes, std::uint64_t mod_revision,
                            TimePoint now) {
-    for (const auto& change : changes) {
+    for (const auto& write : writes) {
         using Type = RecordWrite::Type;
-        if (change.type == Type::put_machine) {
-            inventory_.recorded(change.id, mod_revision);
-        } else if (change.type == Type::drop_machine) {
-            inventory_.record_dropped(change.id);
-        } else if (auto* job = job_table_.find(change.id)) {
-            job_table_.committed(*job, change.job, change.version, mod_revision, now);
-            if (change.type == Type::finish_job) job_table_.terminal_state_committed(*job);
+        if (write.type == Type::put_machine) {
+            inventory_.recorded(write.id, mod_revision);
+        } else if (write.type == Type::drop_machine) {
+            inventory_.record_dropped(write.id);
+        } else if (auto* job = job_table_.find(write.id)) {
+            job_table_.committed(*job, write.job, write.version, mod_revision, now);
+            if (write.type == Type::finish_job) job_table_.terminal_state_committed(*job);
         }
     }
 }
--- a/src/core/write_queue.hpp
+++ b/src/core/write_queue.hpp
@@ -1,7 +1,7 @@
-/// Changes that the key-value store does not hold yet: which records are to be written, in which
-/// order, and what a write's outcome means for their owners. Called through `Controller` by the
-/// state writer. Keeps no list of its own: what is due follows from the records' states of jobs and
-/// machines, so that nothing is lost when a write fails.
+/// Changes that are not in the key-value store yet: which records have to be written, in which
+/// order, and what the outcome of a write means for their owners. Called by the state writer
+/// through `Controller`. Keeps no list of its own: due writes are derived from the record states of
+/// jobs and machines, so a failed write loses nothing.
 #pragma once
 
 #include <cstdint>
@@ -17,8 +17,8 @@
 
 namespace bendspindle::core {
 
-/// A record to be written, on the condition that `mod_revision` is still the record's (0: there is
-/// none). `version` comes back with the outcome.
+/// A conditional write of a record, which succeeds only if `mod_revision` is still current (0: no
+/// record exists). `version` is passed back with the outcome.
 struct RecordWrite {
     enum class Type : std::uint8_t { put_job, finish_job, put_machine, drop_machine };
     Type type = Type::put_job;
@@ -29,41 +29,43 @@
     ListedMachine machine;
 };
 
-/// What it was given must outlive it.
+/// Derives due writes and applies their outcomes. All constructor arguments must outlive the queue.
 class WriteQueue {
   public:
     WriteQueue(const Config& config, MachineInventory& inventory, JobTable& job_table)
         : config_(config), inventory_(inventory), job_table_(job_table) {}
 
-    /// Terminal states first, then new jobs, then machines, then done-sets, which wait a moment to
-    /// be written together.
-    [[nodiscard]] std::vector<RecordWrite> due(std::size_t most_operations, TimePoint now) const;
-    /// They are about to be written. Returns the jobs whose terminal state is sent for the first
-    /// time.
-    std::vector<std::string> sent(const std::vector<RecordWrite>& changes);
-    /// The only write so far of these jobs' terminal states was certainly not carried out.
+    /// Returns the writes that are due: terminal states first, then new jobs, then machines, then
+    /// done-sets, which are delayed briefly so that several are written together.
+    [[nodiscard]] std::vector<RecordWrite> due(std::size_t max_operations, TimePoint now) const;
+    /// Records that the writes are about to be sent. Returns the jobs whose terminal state is sent
+    /// for the first time.
+    std::vector<std::string> sent(const std::vector<RecordWrite>& writes);
+    /// Records that the only write so far of these jobs' terminal states was certainly not carried
+    /// out.
     void rejected(const std::vector<std::string>& terminal_states);
-    /// They were written, under this mod_revision.
-    void committed(const std::vector<RecordWrite>& changes, std::uint64_t mod_revision,
+    /// Records that the writes succeeded with this mod_revision.
+    void committed(const std::vector<RecordWrite>& writes, std::uint64_t mod_revision,
                    TimePoint now);
-    /// Until then no job's terminal state is written, and so no user is answered one.
-    void hold_terminal_states_until(TimePoint until) { terminal_states_from_ = until; }
-    /// The record's mod_revision is another than assumed: an earlier write was carried out
-    /// unnoticed.
+    /// Delays all writes of terminal states until the given time, so that none is reported to users
+    /// before.
+    void hold_terminal_states_until(TimePoint until) { terminal_states_not_before_ = until; }
+    /// Sets the actual mod_revision of a record, which differs from the expected one because an
+    /// earlier write succeeded without this controller noticing.
     void set_mod_revision(RecordWrite::Type type, const std::string& id,
                           std::uint64_t mod_revision);
 
   private:
-    class Gathering;
+    class WriteBatch;
     enum class Pass : std::uint8_t { terminal_states, new_jobs, done_sets };
-    bool belongs(const Job& job, Pass pass, TimePoint now) const;
-    void gather_jobs(Gathering& gathering, Pass pass, TimePoint now) const;
-    void gather_machines(Gathering& gathering) const;
+    bool is_due(const Job& job, Pass pass, TimePoint now) const;
+    void add_jobs(WriteBatch& batch, Pass pass, TimePoint now) const;
+    void add_machines(WriteBatch& batch) const;
 
     const Config& config_;
     MachineInventory& inventory_;
     JobTable& job_table_;
-    TimePoint terminal_states_from_{};
+    TimePoint terminal_states_not_before_{};
 };
 
 }  // namespace bendspindle::core
