--- a/tests/new_leader_test.cpp
+++ b/tests/new_leader_test.cpp
@@ -1,6 +1,6 @@
-// A leader that follows one that has confirmed cancellations: the jobs are in a terminal state and
-// not loaded, and whoever renews the lease of a machine that runs their tasks has to command the
-// stops.
+// A new leader after one that has confirmed cancellations. The cancelled jobs are terminal and
+// therefore not loaded, but the new leader renews the leases of the machines that run their tasks,
+// so it has to command the stops.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,9 +13,9 @@
 constexpr std::uint64_t term = 7;
 const TimePoint start{std::chrono::hours(1)};
 
-class Successor : public testing::Test {
+class NewLeaderTest : public testing::Test {
   protected:
-    Successor() : controller_(config(), term) {
+    NewLeaderTest() : controller_(config(), term) {
         MachineType type;
         type.name = "g8";
         type.size = {8, 0, 64};
@@ -41,7 +41,7 @@
         out.need = {1, 0, 1};
         return out;
     }
-    // A heartbeat of m1, on which a task of job-1 runs.
+    // Returns a heartbeat of m1, which runs a task of job-1.
     static Heartbeat heartbeat(std::uint64_t fencing_token, std::uint64_t sequence) {
         Heartbeat out;
         out.machine = "m1";
@@ -63,32 +63,32 @@
     Controller controller_;
 };
 
-TEST_F(Successor, StopsOrphanedTasksInItsFirstResponse) {
+TEST_F(NewLeaderTest, StopsOrphanedTasksInItsFirstResponse) {
     const auto answer = controller_.heartbeat(heartbeat(term - 1, 1), start);
     EXPECT_TRUE(answer.entitled);
     EXPECT_EQ(stops(answer.commands), 1U);
 }
 
-TEST_F(Successor, LeavesOpenJobsAloneInItsFirstResponse) {
+TEST_F(NewLeaderTest, LeavesOpenJobsAloneInItsFirstResponse) {
     controller_.load_job({spec(), "c0", {}, 0, {}, TerminalState::none}, 4, start);
     EXPECT_EQ(stops(controller_.heartbeat(heartbeat(term - 1, 1), start).commands), 0U);
     EXPECT_EQ(stops(controller_.heartbeat(heartbeat(term, 2), start).commands), 0U);
 }
 
-// A job whose record cannot be read is not known to be in a terminal state.
-TEST_F(Successor, LeavesQuarantinedJobsAlone) {
+// A job whose record cannot be read must not be treated as terminal.
+TEST_F(NewLeaderTest, LeavesQuarantinedJobsAlone) {
     controller_.quarantine("job-1");
     EXPECT_EQ(stops(controller_.heartbeat(heartbeat(term - 1, 1), start).commands), 0U);
     EXPECT_TRUE(controller_.jobs_to_end().empty());
 }
 
-TEST_F(Successor, RepeatsAStopInEachResponseUntilTheTaskIsGone) {
+TEST_F(NewLeaderTest, RepeatsAStopInEachResponseUntilTheTaskIsGone) {
     for (std::uint64_t sequence = 1; sequence < 5; ++sequence)
         EXPECT_EQ(stops(controller_.heartbeat(heartbeat(term, sequence), start).commands), 1U)
             << sequence;
 }
 
-TEST_F(Successor, RepeatsAStopOfWhatItCancelledItself) {
+TEST_F(NewLeaderTest, RepeatsAStopOfWhatItCancelledItself) {
     controller_.load_job({spec(), "c0", {}, 0, {}, TerminalState::none}, 4, start);
     EXPECT_EQ(stops(controller_.heartbeat(heartbeat(term, 1), start).commands), 0U);
     ASSERT_TRUE(controller_.cancel("job-1", start));
@@ -97,9 +97,9 @@
             << sequence;
 }
 
-// The answer to a direct call is newer than a heartbeat that is still on its way, but the agent
-// takes the response to the heartbeat as a renewal all the same.
-TEST_F(Successor, StopsInTheResponseToAnOvertakenHeartbeat) {
+// The answer to a direct call overtakes a heartbeat. The agent still accepts the response to that
+// heartbeat as a lease renewal, so the response has to carry the stop.
+TEST_F(NewLeaderTest, StopsInTheResponseToAnOvertakenHeartbeat) {
     const auto calls = controller_.direct_commands(start);
     ASSERT_EQ(calls.size(), 1U);
     const auto newer = heartbeat(term, 9);
@@ -107,9 +107,9 @@
     EXPECT_EQ(stops(controller_.heartbeat(heartbeat(term, 8), start).commands), 1U);
 }
 
-// Its cancellation snapshot for followers says that it is complete once all machines are fenced;
-// the answer to a direct call fences, too.
-TEST_F(Successor, NamesOrphanedJobsOnMachinesCalledDirectly) {
+// The cancellation snapshot for followers is marked complete once all machines are fenced, and the
+// answer to a direct call fences a machine as well.
+TEST_F(NewLeaderTest, NamesOrphanedJobsOnMachinesCalledDirectly) {
     const auto calls = controller_.direct_commands(start);
     ASSERT_EQ(calls.size(), 1U);
     const auto seen = heartbeat(term, 1);
