--- a/src/core/cluster/job.hpp
+++ b/src/core/cluster/job.hpp
@@ -107,7 +107,7 @@
     bool durable = false;
     // A write of the terminal state may have been carried out, or may still be. Until the terminal
     // state is durable, no state of the job is reported to users (rule went_back).
-    bool sent = false;
+    bool write_sent = false;
     TimePoint cancelled_at{};
 };
 
--- a/src/core/cluster/job_table.cpp
+++ b/src/core/cluster/job_table.cpp
@@ -86,7 +86,7 @@
     const auto* job = find(id);
     if (!job || !job->record.durable) return std::nullopt;
     // Guard against went_back: readers of the record may already see the terminal state.
-    if (job->terminal.sent && !job->terminal.durable) return std::nullopt;
+    if (job->terminal.write_sent && !job->terminal.durable) return std::nullopt;
     JobStatus out;
     // A terminal state is reported only once it is durable, so that the next leader knows it too.
     if (job->terminal.durable) out.terminal_state = job->terminal.state;
@@ -117,7 +117,7 @@
         job->terminal.cancelled_at = now;
     job->terminal.state = terminal_state;
     job->record.durable = true;
-    terminal_state_committed(*job);
+    mark_terminal_state_committed(*job);
 }
 
 void JobTable::adopt_existing_record(const JobRecord& record, std::uint64_t mod_revision,
@@ -254,7 +254,7 @@
     mark_done(job, record.done, TaskPhase::durable);
 }
 
-void JobTable::terminal_state_committed(Job& job) {
+void JobTable::mark_terminal_state_committed(Job& job) {
     job.terminal.durable = true;
     job.record.durable_version = job.record.version;
     forget_if_terminal(job);
--- a/src/core/cluster/job_table.hpp
+++ b/src/core/cluster/job_table.hpp
@@ -94,7 +94,7 @@
     void committed(Job& job, const JobRecord& record, std::uint64_t version,
                    std::uint64_t mod_revision, TimePoint now);
     /// Records that the terminal state of the job was written. May destroy `job`.
-    void terminal_state_committed(Job& job);
+    void mark_terminal_state_committed(Job& job);
     /// Sets the actual mod_revision of a record, where it differs from the expected one. Does
     /// nothing if the job is unknown.
     void set_mod_revision(const std::string& id, std::uint64_t mod_revision);
--- a/src/core/cluster/machine_inventory.cpp
+++ b/src/core/cluster/machine_inventory.cpp
@@ -95,7 +95,7 @@
     machines_.at(name).record.unreadable = true;
 }
 
-Machine& MachineInventory::record_sighting(const Heartbeat& heartbeat, TimePoint now) {
+Machine& MachineInventory::add_or_update(const Heartbeat& heartbeat, TimePoint now) {
     auto [it, fresh] = machines_.try_emplace(heartbeat.machine);
     auto& machine = it->second;
     if (fresh) machine.contact.first_seen = machine.lifecycle.idle_since = now;
@@ -373,7 +373,7 @@
     });
 }
 
-void MachineInventory::note_image(Machine& machine, const Job& job) {
+void MachineInventory::add_cached_image(Machine& machine, const Job& job) {
     if (job.image == 0 || !machine.identity.type_known) return;
     auto& images = machine.cached_images;
     if (!images.empty() && images.back().id == job.image) return;
@@ -387,7 +387,7 @@
     }
 }
 
-void MachineInventory::recorded(const std::string& name, std::uint64_t mod_revision) {
+void MachineInventory::mark_recorded(const std::string& name, std::uint64_t mod_revision) {
     if (auto* machine = find(name)) {
         machine->record.durable = true;
         machine->record.mod_revision = mod_revision;
@@ -401,8 +401,8 @@
     if (auto* machine = find(name)) machine->record.mod_revision = mod_revision;
 }
 
-void MachineInventory::set_dropped_mod_revision(const std::string& name,
-                                                std::uint64_t mod_revision) {
+void MachineInventory::set_deleted_record_mod_revision(const std::string& name,
+                                                       std::uint64_t mod_revision) {
     if (mod_revision == 0)
         pending_record_deletions_.erase(name);
     else if (const auto it = pending_record_deletions_.find(name);
--- a/src/core/cluster/machine_inventory.hpp
+++ b/src/core/cluster/machine_inventory.hpp
@@ -62,7 +62,7 @@
     /// is fenced or gone.
     void load_unreadable(const std::string& name, std::uint64_t mod_revision, TimePoint now);
     /// Adds or updates a machine from a heartbeat, which also describes the machine.
-    Machine& record_sighting(const Heartbeat& heartbeat, TimePoint now);
+    Machine& add_or_update(const Heartbeat& heartbeat, TimePoint now);
     /// Adds machines from the cloud's response to a scale-out.
     void scaled_out(const ScaleOutRequest& request, const std::vector<std::string>& names,
                     TimePoint now);
@@ -111,7 +111,7 @@
     [[nodiscard]] std::size_t unconfirmed() const;
     /// Records that the machine has cached the job's image. Images that no longer fit into the
     /// cache are assumed to be evicted.
-    void note_image(Machine& machine, const Job& job);
+    void add_cached_image(Machine& machine, const Job& job);
 
     /// Returns whether the machine certainly exists. A heartbeat alone does not prove that: it may
     /// be a delayed copy from a machine that a former leader has released.
@@ -125,25 +125,25 @@
     /// Returns whether a record of the machine has to be written. Guard against recording a machine
     /// that is gone: a copy of an old heartbeat added a machine again, and jobs of the former term
     /// waited until it was fenced.
-    [[nodiscard]] bool wants_record(const Machine& machine) const {
+    [[nodiscard]] bool needs_record(const Machine& machine) const {
         return !machine.record.durable && !machine.lifecycle.releasing &&
                machine.identity.type_known && machine.contact.has_reported &&
                certainly_exists(machine);
     }
     /// Returns the removed machines whose records have yet to be deleted, with the mod_revisions of
     /// the records.
-    const std::map<std::string, std::uint64_t>& records_to_drop() const {
+    const std::map<std::string, std::uint64_t>& records_to_delete() const {
         return pending_record_deletions_;
     }
     /// Records that the record of the machine was written.
-    void recorded(const std::string& name, std::uint64_t mod_revision);
+    void mark_recorded(const std::string& name, std::uint64_t mod_revision);
     /// Records that the record of a removed machine was deleted.
-    void record_dropped(const std::string& name) { pending_record_deletions_.erase(name); }
+    void mark_record_deleted(const std::string& name) { pending_record_deletions_.erase(name); }
     /// Sets the actual mod_revision of a record, where it differs from the expected one.
     void set_mod_revision(const std::string& name, std::uint64_t mod_revision);
     /// Sets the actual mod_revision of a removed machine's record. 0 means that the record no
     /// longer exists.
-    void set_dropped_mod_revision(const std::string& name, std::uint64_t mod_revision);
+    void set_deleted_record_mod_revision(const std::string& name, std::uint64_t mod_revision);
 
   private:
     TimePoint listed_after(const Machine& machine) const;
--- a/src/core/reconciliation/agent_gateway.cpp
+++ b/src/core/reconciliation/agent_gateway.cpp
@@ -53,7 +53,7 @@
         command_planner_.stop_finished_jobs(heartbeat, response.commands);
         return response;
     }
-    auto& machine = inventory_.record_sighting(heartbeat, now);
+    auto& machine = inventory_.add_or_update(heartbeat, now);
     inventory_.observe(machine, heartbeat, MachineInventory::Origin::heartbeat, now);
     // Guard against ran_twice: until the machine has seen this term's fencing token, a start of the
     // former term may still take effect after the task list was made.
--- a/src/core/reconciliation/task_reconciliation.cpp
+++ b/src/core/reconciliation/task_reconciliation.cpp
@@ -92,7 +92,7 @@
     } else {
         adopt(machine, *job, task, now);
     }
-    if (task.state != TaskState::fetching) inventory_.note_image(machine, *job);
+    if (task.state != TaskState::fetching) inventory_.add_cached_image(machine, *job);
 }
 
 void Reconciliation::reconcile_exit(Machine& machine, Job& job, const ReportedTask& task,
@@ -213,7 +213,7 @@
             job_table_.unassign(job, task.index);
         }
         failure_attribution_.record_completion(machine, job);
-        inventory_.note_image(machine, job);
+        inventory_.add_cached_image(machine, job);
         job_table_.complete(job, task.index, now);
         return;
     }
--- a/src/core/write_queue.cpp
+++ b/src/core/write_queue.cpp
@@ -61,7 +61,7 @@
     for (const auto& [name, machine] : inventory_.all()) {
         // A machine is recorded once it is up and its address is known; nothing can start there
         // before.
-        if (!inventory_.wants_record(machine)) continue;
+        if (!inventory_.needs_record(machine)) continue;
         RecordWrite write;
         write.type = RecordWrite::Type::put_machine;
         write.id = name;
@@ -75,7 +75,7 @@
                          Seconds{0}};
         if (!batch.add(std::move(write))) return;
     }
-    for (const auto& [name, mod_revision] : inventory_.records_to_drop()) {
+    for (const auto& [name, mod_revision] : inventory_.records_to_delete()) {
         RecordWrite write;
         write.type = RecordWrite::Type::drop_machine;
         write.id = name;
@@ -98,8 +98,8 @@
     for (const auto& write : writes) {
         if (write.type != RecordWrite::Type::finish_job) continue;
         auto* job = job_table_.find(write.id);
-        if (!job || job->terminal.sent) continue;
-        job->terminal.sent = true;
+        if (!job || job->terminal.write_sent) continue;
+        job->terminal.write_sent = true;
         out.push_back(write.id);
     }
     return out;
@@ -107,7 +107,7 @@
 
 void WriteQueue::rejected(const std::vector<std::string>& terminal_states) {
     for (const auto& id : terminal_states)
-        if (auto* job = job_table_.find(id)) job->terminal.sent = false;
+        if (auto* job = job_table_.find(id)) job->terminal.write_sent = false;
 }
 
 void WriteQueue::committed(const std::vector<RecordWrite>& writes, std::uint64_t mod_revision,
@@ -115,12 +115,12 @@
     for (const auto& write : writes) {
         using Type = RecordWrite::Type;
         if (write.type == Type::put_machine) {
-            inventory_.recorded(write.id, mod_revision);
+            inventory_.mark_recorded(write.id, mod_revision);
         } else if (write.type == Type::drop_machine) {
-            inventory_.record_dropped(write.id);
+            inventory_.mark_record_deleted(write.id);
         } else if (auto* job = job_table_.find(write.id)) {
             job_table_.committed(*job, write.job, write.version, mod_revision, now);
-            if (write.type == Type::finish_job) job_table_.terminal_state_committed(*job);
+            if (write.type == Type::finish_job) job_table_.mark_terminal_state_committed(*job);
         }
     }
 }
@@ -130,7 +130,7 @@
     if (type == RecordWrite::Type::put_machine)
         inventory_.set_mod_revision(id, mod_revision);
     else if (type == RecordWrite::Type::drop_machine)
-        inventory_.set_dropped_mod_revision(id, mod_revision);
+        inventory_.set_deleted_record_mod_revision(id, mod_revision);
     else
         job_table_.set_mod_revision(id, mod_revision);
 }
