--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -82,7 +82,7 @@
     [[nodiscard]] bool may_have_unfenced_tasks(const std::string& id) const;
     /// Returns the jobs that have tasks on machines and may have been reported to their users as
     /// cancelled, by this leader or a former one.
-    [[nodiscard]] std::set<std::string> jobs_to_end() const { return agents_.jobs_to_end(); }
+    [[nodiscard]] std::set<std::string> jobs_to_stop() const { return agents_.jobs_to_stop(); }
     /// Returns whether the job's first write found a record that already existed.
     [[nodiscard]] bool met_existing_record(const std::string& id) const;
     /// Cancels a job, whose record is written next. Returns false if the job is done or unknown.
--- a/src/core/reconciliation/agent_gateway.hpp
+++ b/src/core/reconciliation/agent_gateway.hpp
@@ -62,9 +62,9 @@
     void drain(TimePoint now) { command_planner_.drain(now); }
     /// Removes a machine whose release is confirmed, together with its tasks.
     void released(const std::string& name);
-    /// Returns the jobs whose tasks have to be stopped; see `CommandPlanner::jobs_to_end`.
-    [[nodiscard]] std::set<std::string> jobs_to_end() const {
-        return command_planner_.jobs_to_end();
+    /// Returns the jobs whose tasks have to be stopped; see `CommandPlanner::jobs_to_stop`.
+    [[nodiscard]] std::set<std::string> jobs_to_stop() const {
+        return command_planner_.jobs_to_stop();
     }
     const AgentCounters& counts() const { return counts_; }
     /// Returns the jobs that have started since the last call.
--- a/src/core/reconciliation/command_planner.cpp
+++ b/src/core/reconciliation/command_planner.cpp
@@ -43,7 +43,7 @@
     return job ? job->terminal.state == TerminalState::cancelled : job_table_.is_orphaned(id);
 }
 
-std::set<std::string> CommandPlanner::jobs_to_end() const {
+std::set<std::string> CommandPlanner::jobs_to_stop() const {
     std::set<std::string> out;
     for (const auto& [serial, job] : job_table_.all())
         if (job->terminal.state == TerminalState::cancelled && !job->assignments.empty())
--- a/src/core/reconciliation/command_planner.hpp
+++ b/src/core/reconciliation/command_planner.hpp
@@ -52,7 +52,7 @@
     /// Returns the cancelled and orphaned jobs that have tasks on machines, by assignment or by the
     /// last task list. A controller that renews the leases of these machines has to stop the tasks
     /// (rule ran_cancelled).
-    [[nodiscard]] std::set<std::string> jobs_to_end() const;
+    [[nodiscard]] std::set<std::string> jobs_to_stop() const;
 
     /// Stops and unbinds the tasks that have to leave draining or unreachable machines.
     void drain(TimePoint now);
--- a/tests/new_leader_test.cpp
+++ b/tests/new_leader_test.cpp
@@ -79,7 +79,7 @@
 TEST_F(NewLeaderTest, LeavesQuarantinedJobsAlone) {
     controller_.quarantine("job-1");
     EXPECT_EQ(stops(controller_.heartbeat(heartbeat(term - 1, 1), start).commands), 0U);
-    EXPECT_TRUE(controller_.jobs_to_end().empty());
+    EXPECT_TRUE(controller_.jobs_to_stop().empty());
 }
 
 TEST_F(NewLeaderTest, RepeatsAStopInEachResponseUntilTheTaskIsGone) {
@@ -115,12 +115,12 @@
     const auto seen = heartbeat(term, 1);
     controller_.called(calls[0], CommandOutcome::executed, &seen, start);
     EXPECT_EQ(controller_.unconfirmed(), 0U);
-    EXPECT_EQ(controller_.jobs_to_end(), std::set<std::string>{"job-1"});
+    EXPECT_EQ(controller_.jobs_to_stop(), std::set<std::string>{"job-1"});
 
     auto gone = heartbeat(term, 2);
     gone.tasks.clear();
     controller_.heartbeat(gone, start);
-    EXPECT_TRUE(controller_.jobs_to_end().empty());
+    EXPECT_TRUE(controller_.jobs_to_stop().empty());
 }
 
 }  // namespace
