--- a/src/agents/heartbeat_handler.cpp
+++ b/src/agents/heartbeat_handler.cpp
@@ -93,7 +93,7 @@
     if (!access.controller()) return renew_without_leader(heartbeat, term);
     const auto before = access.controller()->counts();
     const auto answer = access.controller()->heartbeat(heartbeat, clock_());
-    if (!answer.entitled) return wire::unavailable("another controller acts");
+    if (!answer.leader_is_current) return wire::unavailable("another controller acts");
     log_response(heartbeat, before, access.controller()->counts(), answer.commands);
     access.request_write();
     const bool frees_capacity =
--- a/src/core/reconciliation/agent_gateway.hpp
+++ b/src/core/reconciliation/agent_gateway.hpp
@@ -34,7 +34,7 @@
 /// The response to a heartbeat.
 struct HeartbeatResponse {
     // False if the agent has seen a newer fencing token than this term's.
-    bool entitled = true;
+    bool leader_is_current = true;
     std::uint64_t fencing_token = 0;
     std::vector<TaskCommand> commands;
 };
--- a/tests/new_leader_test.cpp
+++ b/tests/new_leader_test.cpp
@@ -65,7 +65,7 @@
 
 TEST_F(NewLeaderTest, StopsOrphanedTasksInItsFirstResponse) {
     const auto answer = controller_.heartbeat(heartbeat(term - 1, 1), start);
-    EXPECT_TRUE(answer.entitled);
+    EXPECT_TRUE(answer.leader_is_current);
     EXPECT_EQ(stops(answer.commands), 1U);
 }
 
--- a/tests/standin/simulated_cluster.cpp
+++ b/tests/standin/simulated_cluster.cpp
@@ -87,7 +87,7 @@
     if (!to) return;
     const auto answer = to->heartbeat(heartbeat, at());
     record_commands(agent.name, answer.commands);
-    if (!answered || !answer.entitled || agent.inbound_unreachable) return;
+    if (!answered || !answer.leader_is_current || agent.inbound_unreachable) return;
     if (agent.response_delayed) {
         agent.response_delayed = false;
         agent.awaits_response_until = now_ + 3.25;
