--- a/src/core/reconciliation/start_latency.cpp
+++ b/src/core/reconciliation/start_latency.cpp
@@ -25,14 +25,14 @@
     breakdown.job_class = job.spec.job_class;
     breakdown.team = job.spec.team;
     breakdown.tasks = job.spec.tasks;
-    breakdown.stopped_others = latest->reserved_until != TimePoint{};
+    breakdown.preempted_others = latest->reserved_until != TimePoint{};
     breakdown.record = between(job.accepted_at, job.record.durable_at);
     // A binding that waits for no preemption is renewed in each cycle, so that time counts as
     // waiting for capacity.
     const auto capacity_found_at =
-        breakdown.stopped_others ? latest->bound_at : latest->commanded_at;
-    breakdown.room = between(job.record.durable_at, capacity_found_at);
-    breakdown.saves = between(capacity_found_at, latest->commanded_at);
+        breakdown.preempted_others ? latest->bound_at : latest->commanded_at;
+    breakdown.capacity = between(job.record.durable_at, capacity_found_at);
+    breakdown.preemption = between(capacity_found_at, latest->commanded_at);
     breakdown.heartbeat = between(latest->commanded_at, latest->reported_at);
     breakdown.image = between(latest->reported_at, now);
     breakdowns_.push_back(std::move(breakdown));
--- a/src/core/reconciliation/start_latency.hpp
+++ b/src/core/reconciliation/start_latency.hpp
@@ -20,13 +20,13 @@
     std::string job_class;
     std::string team;
     std::uint32_t tasks = 0;
-    bool stopped_others = false;
-    Seconds record{0};     // until the job was durable
-    Seconds room{0};       // until a machine was found or tasks were preempted
-    Seconds saves{0};      // until the preempted tasks had saved and exited
-    Seconds heartbeat{0};  // until the machine reported the task
-    Seconds image{0};      // until the task ran: its image was fetched, and its gang was complete
-    Seconds total() const { return record + room + saves + heartbeat + image; }
+    bool preempted_others = false;
+    Seconds record{0};      // until the job was durable
+    Seconds capacity{0};    // until a machine was found or tasks were preempted
+    Seconds preemption{0};  // until the preempted tasks had saved and exited
+    Seconds heartbeat{0};   // until the machine reported the task
+    Seconds image{0};       // until the task ran: its image was fetched, and its gang was complete
+    Seconds total() const { return record + capacity + preemption + heartbeat + image; }
 };
 
 /// Records one breakdown for each job, when the job starts for the first time in this term.
--- a/src/daemon/placement_loop.cpp
+++ b/src/daemon/placement_loop.cpp
@@ -25,10 +25,10 @@
         if (!spdlog::should_log(spdlog::level::debug)) continue;
         io::log::debug("job_started", "job", start.job, "class", start.job_class, "team",
                        start.team, "tasks", start.tasks, "total_s", seconds(start.total()),
-                       "record_s", seconds(start.record), "capacity_s", seconds(start.room),
-                       "preempted_others", start.stopped_others, "preemption_s",
-                       seconds(start.saves), "heartbeat_s", seconds(start.heartbeat), "image_s",
-                       seconds(start.image));
+                       "record_s", seconds(start.record), "capacity_s", seconds(start.capacity),
+                       "preempted_others", start.preempted_others, "preemption_s",
+                       seconds(start.preemption), "heartbeat_s", seconds(start.heartbeat),
+                       "image_s", seconds(start.image));
     }
 }
 
