--- a/src/api/job_submission.cpp
+++ b/src/api/job_submission.cpp
@@ -50,10 +50,10 @@
     // Guard against overwriting what another version may be able to read.
     if (access.controller()->quarantined(id))
         return wire::unavailable("the record cannot be read", 5);
-    const auto verdict = access.controller()->check(spec);
-    if (verdict == core::Verdict::not_ready)
+    const auto feasibility = access.controller()->check(spec);
+    if (feasibility == core::Feasibility::not_ready)
         return wire::unavailable("machine types are not known yet");
-    if (verdict == core::Verdict::never_fits && !access.controller()->knows(id)) {
+    if (feasibility == core::Feasibility::never_fits && !access.controller()->knows(id)) {
         access.unlock();
         return answer_never_fits(id);
     }
@@ -81,10 +81,11 @@
 }
 
 wire::Response JobSubmissionHandler::admit_as_follower(const core::JobSpec& spec) {
-    const auto verdict = core::judge(spec, settings_.teams, leader_state_.machine_types());
-    if (verdict == core::Verdict::not_ready)
+    const auto feasibility =
+        core::check_feasibility(spec, settings_.teams, leader_state_.machine_types());
+    if (feasibility == core::Feasibility::not_ready)
         return wire::unavailable("machine types are not known yet");
-    if (verdict == core::Verdict::never_fits) return answer_never_fits(spec.id);
+    if (feasibility == core::Feasibility::never_fits) return answer_never_fits(spec.id);
     core::JobRecord record;
     record.spec = spec;
     record.submitted = std::chrono::system_clock::now();
--- a/src/core/cluster/machine_catalog.cpp
+++ b/src/core/cluster/machine_catalog.cpp
@@ -21,22 +21,22 @@
     return std::find(spec.types->begin(), spec.types->end(), type) != spec.types->end();
 }
 
-Verdict judge(const JobSpec& spec, const std::vector<Team>& teams,
-              const std::vector<MachineType>& types) {
-    if (types.empty()) return Verdict::not_ready;
+Feasibility check_feasibility(const JobSpec& spec, const std::vector<Team>& teams,
+                              const std::vector<MachineType>& types) {
+    if (types.empty()) return Feasibility::not_ready;
     const auto team = std::find_if(teams.begin(), teams.end(),
                                    [&](const Team& t) { return t.name == spec.team; });
-    if (team == teams.end()) return Verdict::never_fits;
+    if (team == teams.end()) return Feasibility::never_fits;
     const bool fits_some = std::any_of(types.begin(), types.end(), [&](const MachineType& type) {
         return type.size.holds(spec.need) && allowed_in_some_zone(spec, type);
     });
-    if (!fits_some) return Verdict::never_fits;
+    if (!fits_some) return Feasibility::never_fits;
     // The quota must allow one task of an array, but all tasks of a gang or service at once.
     const double at_once = spec.kind == Kind::array ? 1 : spec.tasks;
     const auto& limit = team->limit;
-    if (limit.cpus > 0 && spec.need.cpus * at_once > limit.cpus) return Verdict::never_fits;
-    if (limit.gpus > 0 && spec.need.gpus * at_once > limit.gpus) return Verdict::never_fits;
-    return Verdict::fits;
+    if (limit.cpus > 0 && spec.need.cpus * at_once > limit.cpus) return Feasibility::never_fits;
+    if (limit.gpus > 0 && spec.need.gpus * at_once > limit.gpus) return Feasibility::never_fits;
+    return Feasibility::fits;
 }
 
 void MachineCatalog::set(std::vector<MachineType> types) {
--- a/src/core/cluster/machine_catalog.hpp
+++ b/src/core/cluster/machine_catalog.hpp
@@ -17,11 +17,11 @@
 namespace bendspindle::core {
 
 /// `not_ready` means that the catalog is not known yet.
-enum class Verdict : std::uint8_t { fits, never_fits, not_ready };
+enum class Feasibility : std::uint8_t { fits, never_fits, not_ready };
 
 /// Returns whether a job could ever run.
-[[nodiscard]] Verdict judge(const JobSpec& spec, const std::vector<Team>& teams,
-                            const std::vector<MachineType>& types);
+[[nodiscard]] Feasibility check_feasibility(const JobSpec& spec, const std::vector<Team>& teams,
+                                            const std::vector<MachineType>& types);
 
 /// Returns whether the constraints of a job allow such a machine.
 [[nodiscard]] bool allowed(const JobSpec& spec, const std::string& type, const std::string& zone,
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -41,8 +41,8 @@
     return true;
 }
 
-Verdict Controller::check(const JobSpec& spec) const {
-    return judge(spec, config_.teams, catalog_.types());
+Feasibility Controller::check(const JobSpec& spec) const {
+    return check_feasibility(spec, config_.teams, catalog_.types());
 }
 
 bool Controller::accept(const JobSpec& spec, WallTime submitted, TimePoint now) {
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -66,7 +66,7 @@
     // User requests.
 
     /// Returns whether such a job could ever run.
-    [[nodiscard]] Verdict check(const JobSpec& spec) const;
+    [[nodiscard]] Feasibility check(const JobSpec& spec) const;
     [[nodiscard]] bool knows(const std::string& id) const { return job_table_.knows(id); }
     /// Accepts a new job, whose record is written next. Returns false if the id is already known.
     bool accept(const JobSpec& spec, WallTime submitted, TimePoint now);
--- a/tests/leader_state_test.cpp
+++ b/tests/leader_state_test.cpp
@@ -39,7 +39,7 @@
     leader_state.set_machine_types({some_type()});
     auto access = leader_state.lock();
     access.install(std::move(controller), 7);
-    EXPECT_EQ(access.controller()->check(some_job()), core::Verdict::fits);
+    EXPECT_EQ(access.controller()->check(some_job()), core::Feasibility::fits);
     EXPECT_EQ(access.leader_key_revision(), 7U);
 }
 
@@ -48,11 +48,11 @@
     {
         auto access = leader_state.lock();
         access.install(loaded(), 7);
-        EXPECT_EQ(access.controller()->check(some_job()), core::Verdict::not_ready);
+        EXPECT_EQ(access.controller()->check(some_job()), core::Feasibility::not_ready);
     }
     leader_state.set_machine_types({some_type()});
     auto access = leader_state.lock();
-    EXPECT_EQ(access.controller()->check(some_job()), core::Verdict::fits);
+    EXPECT_EQ(access.controller()->check(some_job()), core::Feasibility::fits);
 }
 
 // Guard against an answer that goes back: a former incarnation may still answer "running" for
--- a/tests/standin/simulated_cluster_scenario.cpp
+++ b/tests/standin/simulated_cluster_scenario.cpp
@@ -354,8 +354,8 @@
                      const Arguments& a) { return c.controller_->knows(a.at(2)) == a.yes_at(3); }},
         {"verdict",
          [](Cluster& c, const Arguments& a) {
-             const auto verdict = c.controller_->check(c.specs_.at(a.at(2)));
-             return (verdict == core::Verdict::fits) == (a.at(3) == "fits");
+             const auto feasibility = c.controller_->check(c.specs_.at(a.at(2)));
+             return (feasibility == core::Feasibility::fits) == (a.at(3) == "fits");
          }},
         // Tasks on machines. on JOB/INDEX MACHINE, or `nowhere`.
         {"on", [](Cluster& c, const Arguments& a) { return c.task_is_on(a); }},
