--- a/src/core/cluster/job_table.cpp
+++ b/src/core/cluster/job_table.cpp
@@ -244,8 +244,8 @@
         finish(job, TerminalState::done, now);
 }
 
-void JobTable::committed(Job& job, const JobRecord& record, std::uint64_t version,
-                         std::uint64_t mod_revision, TimePoint now) {
+void JobTable::mark_committed(Job& job, const JobRecord& record, std::uint64_t version,
+                              std::uint64_t mod_revision, TimePoint now) {
     if (!job.record.durable) job.record.durable_at = now;
     job.record.durable = true;
     job.record.mod_revision = mod_revision;
--- a/src/core/cluster/job_table.hpp
+++ b/src/core/cluster/job_table.hpp
@@ -91,8 +91,8 @@
     void complete(Job& job, std::uint32_t index, TimePoint now);
 
     /// Records that `record`, the state of the job as of `version`, was written.
-    void committed(Job& job, const JobRecord& record, std::uint64_t version,
-                   std::uint64_t mod_revision, TimePoint now);
+    void mark_committed(Job& job, const JobRecord& record, std::uint64_t version,
+                        std::uint64_t mod_revision, TimePoint now);
     /// Records that the terminal state of the job was written. May destroy `job`.
     void mark_terminal_state_committed(Job& job);
     /// Sets the actual mod_revision of a record, where it differs from the expected one. Does
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -106,21 +106,21 @@
     inventory_.listed(machines, asked, now);
 }
 
-std::vector<RecordWrite> Controller::changes(std::size_t max_operations, TimePoint now) const {
+std::vector<RecordWrite> Controller::due_writes(std::size_t max_operations, TimePoint now) const {
     return write_queue_.due(max_operations, now);
 }
 
-std::vector<std::string> Controller::sent(const std::vector<RecordWrite>& writes) {
-    return write_queue_.sent(writes);
+std::vector<std::string> Controller::mark_sent(const std::vector<RecordWrite>& writes) {
+    return write_queue_.mark_sent(writes);
 }
 
-void Controller::rejected(const std::vector<std::string>& terminal_states) {
-    write_queue_.rejected(terminal_states);
+void Controller::mark_rejected(const std::vector<std::string>& terminal_states) {
+    write_queue_.mark_rejected(terminal_states);
 }
 
-void Controller::committed(const std::vector<RecordWrite>& writes, std::uint64_t mod_revision,
-                           TimePoint now) {
-    write_queue_.committed(writes, mod_revision, now);
+void Controller::mark_committed(const std::vector<RecordWrite>& writes, std::uint64_t mod_revision,
+                                TimePoint now) {
+    write_queue_.mark_committed(writes, mod_revision, now);
 }
 
 void Controller::set_mod_revision(RecordWrite::Type type, const std::string& id,
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -125,16 +125,17 @@
     // Record writes (`WriteQueue`).
 
     /// Returns the record writes that are due, the most urgent first, up to a number of operations.
-    [[nodiscard]] std::vector<RecordWrite> changes(std::size_t max_operations, TimePoint now) const;
+    [[nodiscard]] std::vector<RecordWrite> due_writes(std::size_t max_operations,
+                                                      TimePoint now) const;
     /// Records that the writes are about to be sent. Returns the jobs whose terminal state is sent
     /// for the first time. Until the outcome is known, no other state of these jobs is reported.
-    std::vector<std::string> sent(const std::vector<RecordWrite>& writes);
+    std::vector<std::string> mark_sent(const std::vector<RecordWrite>& writes);
     /// Records that the only write so far of these jobs' terminal states was certainly not carried
     /// out.
-    void rejected(const std::vector<std::string>& terminal_states);
+    void mark_rejected(const std::vector<std::string>& terminal_states);
     /// Records that the writes succeeded with this mod_revision.
-    void committed(const std::vector<RecordWrite>& writes, std::uint64_t mod_revision,
-                   TimePoint now);
+    void mark_committed(const std::vector<RecordWrite>& writes, std::uint64_t mod_revision,
+                        TimePoint now);
     /// Sets the actual mod_revision of a record, where it differs from the expected one.
     void set_mod_revision(RecordWrite::Type type, const std::string& id,
                           std::uint64_t mod_revision);
--- a/src/core/write_queue.cpp
+++ b/src/core/write_queue.cpp
@@ -93,7 +93,7 @@
     return batch.take();
 }
 
-std::vector<std::string> WriteQueue::sent(const std::vector<RecordWrite>& writes) {
+std::vector<std::string> WriteQueue::mark_sent(const std::vector<RecordWrite>& writes) {
     std::vector<std::string> out;
     for (const auto& write : writes) {
         if (write.type != RecordWrite::Type::finish_job) continue;
@@ -105,13 +105,13 @@
     return out;
 }
 
-void WriteQueue::rejected(const std::vector<std::string>& terminal_states) {
+void WriteQueue::mark_rejected(const std::vector<std::string>& terminal_states) {
     for (const auto& id : terminal_states)
         if (auto* job = job_table_.find(id)) job->terminal.write_sent = false;
 }
 
-void WriteQueue::committed(const std::vector<RecordWrite>& writes, std::uint64_t mod_revision,
-                           TimePoint now) {
+void WriteQueue::mark_committed(const std::vector<RecordWrite>& writes, std::uint64_t mod_revision,
+                                TimePoint now) {
     for (const auto& write : writes) {
         using Type = RecordWrite::Type;
         if (write.type == Type::put_machine) {
@@ -119,7 +119,7 @@
         } else if (write.type == Type::drop_machine) {
             inventory_.mark_record_deleted(write.id);
         } else if (auto* job = job_table_.find(write.id)) {
-            job_table_.committed(*job, write.job, write.version, mod_revision, now);
+            job_table_.mark_committed(*job, write.job, write.version, mod_revision, now);
             if (write.type == Type::finish_job) job_table_.mark_terminal_state_committed(*job);
         }
     }
--- a/src/core/write_queue.hpp
+++ b/src/core/write_queue.hpp
@@ -40,13 +40,13 @@
     [[nodiscard]] std::vector<RecordWrite> due(std::size_t max_operations, TimePoint now) const;
     /// Records that the writes are about to be sent. Returns the jobs whose terminal state is sent
     /// for the first time.
-    std::vector<std::string> sent(const std::vector<RecordWrite>& writes);
+    std::vector<std::string> mark_sent(const std::vector<RecordWrite>& writes);
     /// Records that the only write so far of these jobs' terminal states was certainly not carried
     /// out.
-    void rejected(const std::vector<std::string>& terminal_states);
+    void mark_rejected(const std::vector<std::string>& terminal_states);
     /// Records that the writes succeeded with this mod_revision.
-    void committed(const std::vector<RecordWrite>& writes, std::uint64_t mod_revision,
-                   TimePoint now);
+    void mark_committed(const std::vector<RecordWrite>& writes, std::uint64_t mod_revision,
+                        TimePoint now);
     /// Delays all writes of terminal states until the given time, so that none is reported to users
     /// before.
     void hold_terminal_states_until(TimePoint until) { terminal_states_not_before_ = until; }
--- a/src/state/state_writer.cpp
+++ b/src/state/state_writer.cpp
@@ -83,11 +83,11 @@
     const auto now = Clock::now();
     std::erase_if(quarantined_, [&](const auto& entry) { return entry.second <= now; });
     const auto most = limits_.txn_ops + quarantined_.size() * 2;
-    for (auto& write : controller->changes(most, now)) {
+    for (auto& write : controller->due_writes(most, now)) {
         if (quarantined_.contains(write.id)) continue;
         if (add(std::move(write), batch) == Added::batch_full) break;
     }
-    batch.terminal_states = controller->sent(batch.writes);
+    batch.terminal_states = controller->mark_sent(batch.writes);
     return batch;
 }
 
@@ -174,7 +174,7 @@
     if (controller == nullptr) return;
     for (const auto& write : batch.writes)
         if (write.type == Type::finish_job) access.job_watch_cursor().ended(write.id, revision);
-    controller->committed(batch.writes, revision, Clock::now());
+    controller->mark_committed(batch.writes, revision, Clock::now());
     access.notify_committed();
     access.request_placement();
 }
@@ -184,7 +184,7 @@
 void StateWriter::resolve_rejected(const Batch& batch) {
     const auto access = leader_state_.lock();
     if (auto* const controller = access.controller_of(batch.term))
-        controller->rejected(batch.terminal_states);
+        controller->mark_rejected(batch.terminal_states);
 }
 
 // Guard against a standstill of all writing: one record that the store calls malformed, too large
--- a/tests/leader_state_test.cpp
+++ b/tests/leader_state_test.cpp
@@ -62,12 +62,12 @@
     controller->set_types({some_type()});
     const core::TimePoint now{std::chrono::hours(1)};
     controller->accept(some_job(), core::WallTime{}, now);
-    controller->committed(controller->changes(10, now), 1, now);
+    controller->mark_committed(controller->due_writes(10, now), 1, now);
     controller->hold_terminal_states_until(now + std::chrono::seconds(4));
     ASSERT_TRUE(controller->cancel("job-1", now));
-    EXPECT_TRUE(controller->changes(10, now + std::chrono::seconds(3)).empty());
+    EXPECT_TRUE(controller->due_writes(10, now + std::chrono::seconds(3)).empty());
     EXPECT_EQ(controller->status("job-1")->terminal_state, core::TerminalState::none);
-    const auto due = controller->changes(10, now + std::chrono::seconds(4));
+    const auto due = controller->due_writes(10, now + std::chrono::seconds(4));
     ASSERT_EQ(due.size(), 1U);
     EXPECT_EQ(due[0].type, core::RecordWrite::Type::finish_job);
 }
@@ -116,7 +116,7 @@
         core::Controller controller(config, term);
         controller.set_types({some_type()});
         controller.accept(some_job(), core::WallTime{}, still);
-        controller.committed(controller.changes(10, still), 1, still);
+        controller.mark_committed(controller.due_writes(10, still), 1, still);
         const auto plan = controller.plan_scaling(still);
         ASSERT_FALSE(plan.scale_out.empty());
         for (const auto& request : plan.scale_out)
@@ -138,7 +138,7 @@
     heartbeat.agent_epoch = heartbeat.sequence = heartbeat.fencing_token = 1;
     controller->heartbeat(heartbeat, now);
     controller->accept(some_job(), core::WallTime{}, now);
-    controller->committed(controller->changes(8, now), 5, now);
+    controller->mark_committed(controller->due_writes(8, now), 5, now);
     controller->cycle(now);
     EXPECT_TRUE(controller->direct_commands(now, false).empty());
     const auto calls = controller->direct_commands(now);
--- a/tests/standin/leader_change_simulation.cpp
+++ b/tests/standin/leader_change_simulation.cpp
@@ -256,9 +256,9 @@
             leader_state.lock().take_write_request();
             if (!controller()) continue;
             const auto term = controller()->term();
-            const auto changes = controller()->changes(12, timeline_.now());
+            const auto changes = controller()->due_writes(12, timeline_.now());
             if (changes.empty()) continue;
-            const auto terminal_states_sent = controller()->sent(changes);
+            const auto terminal_states_sent = controller()->mark_sent(changes);
             std::vector<wire::Condition> conditions{
                 {state::keys::leader, leader_state.lock().leader_key_revision()}};
             std::vector<wire::Operation> operations;
@@ -270,7 +270,7 @@
                 read_back(changes, term, cas_result.failed);
             } else {
                 if (cas_result.outcome != StoreStatus::unknown && same(term))
-                    controller()->rejected(terminal_states_sent);
+                    controller()->mark_rejected(terminal_states_sent);
                 timeline_.wait(Seconds{0.15 + 0.3 * world_.below_one()});
             }
         }
@@ -308,7 +308,7 @@
         for (const auto& change : changes)
             if (change.type == core::RecordWrite::Type::finish_job)
                 terminal_states.put(change.id, change.job.terminal_state);
-        if (same(term)) controller()->committed(changes, revision, timeline_.now());
+        if (same(term)) controller()->mark_committed(changes, revision, timeline_.now());
         leader_state.lock().request_placement();
     }
 
--- a/tests/standin/simulated_cluster_store.cpp
+++ b/tests/standin/simulated_cluster_store.cpp
@@ -20,11 +20,11 @@
     if (!controller_ || !state_up_ || now_ < next_write_at_) return;
     const auto under_way = [&](const auto& other) { return other.answered && other.term == term_; };
     if (std::any_of(transactions_.begin(), transactions_.end(), under_way)) return;
-    const auto changes = controller_->changes(48, at());
+    const auto changes = controller_->due_writes(48, at());
     if (changes.empty()) return;
-    const auto terminal_states = controller_->sent(changes);
+    const auto terminal_states = controller_->mark_sent(changes);
     if (writes_ == Writes::refused) {
-        controller_->rejected(terminal_states);
+        controller_->mark_rejected(terminal_states);
         return;
     }
     const bool answered = writes_ != Writes::unanswered;
@@ -53,7 +53,8 @@
         }
         const bool answer_arrives =
             transaction.answered && controller_ && transaction.term == term_;
-        if (answer_arrives && holds) controller_->committed(transaction.changes, revision_, at());
+        if (answer_arrives && holds)
+            controller_->mark_committed(transaction.changes, revision_, at());
         if (answer_arrives && !holds)
             for (const auto& change : transaction.changes) reconcile_conflict(change);
     }
--- a/tests/state_writer_test.cpp
+++ b/tests/state_writer_test.cpp
@@ -123,18 +123,18 @@
     config.teams = {{"red", {}, {}}};
     core::Controller controller(config, 3);
     controller.accept(job("job-9"), core::WallTime{}, Clock::now());
-    controller.committed(controller.changes(8, Clock::now()), 5, Clock::now());
+    controller.mark_committed(controller.due_writes(8, Clock::now()), 5, Clock::now());
     ASSERT_TRUE(controller.status("job-9"));
     controller.cancel("job-9", Clock::now());
-    const auto first = controller.sent(controller.changes(8, Clock::now()));
+    const auto first = controller.mark_sent(controller.due_writes(8, Clock::now()));
     EXPECT_FALSE(controller.status("job-9"));
-    controller.rejected(first);
+    controller.mark_rejected(first);
     ASSERT_TRUE(controller.status("job-9"));
     // After one that got no answer a refused repeat proves nothing.
-    controller.sent(controller.changes(8, Clock::now()));
-    controller.rejected(controller.sent(controller.changes(8, Clock::now())));
+    controller.mark_sent(controller.due_writes(8, Clock::now()));
+    controller.mark_rejected(controller.mark_sent(controller.due_writes(8, Clock::now())));
     EXPECT_FALSE(controller.status("job-9"));
-    controller.committed(controller.changes(8, Clock::now()), 6, Clock::now());
+    controller.mark_committed(controller.due_writes(8, Clock::now()), 6, Clock::now());
     EXPECT_FALSE(controller.knows("job-9"));
 }
 
