--- a/src/api/job_submission.cpp
+++ b/src/api/job_submission.cpp
@@ -69,7 +69,7 @@
         controller != nullptr && leadership_.lease_valid()) {
         if (const auto status = controller->status(id)) {
             auto response = status_response(id, *status, TaskCounts::omitted);
-            if (is_new && !controller->met_existing_record(id))
+            if (is_new && !controller->found_existing_record(id))
                 response.status = wire::http_status::created;
             return response;
         }
--- a/src/core/cluster/job.hpp
+++ b/src/core/cluster/job.hpp
@@ -21,7 +21,7 @@
 
 /// `none` means that the job is open. A job never leaves a terminal state, nor does it change from
 /// one terminal state to the other, unless the key-value store turns out to hold the other one
-/// (`JobTable::finished_by_record`).
+/// (`JobTable::apply_recorded_terminal_state`).
 enum class TerminalState : std::uint8_t { none, done, cancelled };
 
 /// A range of task indices; both ends are inclusive.
--- a/src/core/cluster/job_table.cpp
+++ b/src/core/cluster/job_table.cpp
@@ -107,8 +107,8 @@
     return true;
 }
 
-void JobTable::finished_by_record(const std::string& id, TerminalState terminal_state,
-                                  TimePoint now) {
+void JobTable::apply_recorded_terminal_state(const std::string& id, TerminalState terminal_state,
+                                             TimePoint now) {
     auto* job = find(id);
     if (!job) return;
     // Either terminal state ends the job: its tasks on machines are stopped.
--- a/src/core/cluster/job_table.hpp
+++ b/src/core/cluster/job_table.hpp
@@ -58,7 +58,8 @@
     bool cancel(const std::string& id, TimePoint now);
     /// Applies a terminal state found in the key-value store, which takes precedence over the state
     /// in memory.
-    void finished_by_record(const std::string& id, TerminalState terminal_state, TimePoint now);
+    void apply_recorded_terminal_state(const std::string& id, TerminalState terminal_state,
+                                       TimePoint now);
     /// Replaces a job by the existing record that its first write found: a job of this id was
     /// accepted by another controller, and its specification applies.
     void adopt_existing_record(const JobRecord& record, std::uint64_t mod_revision, TimePoint now);
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -57,7 +57,7 @@
     return job && job->record.durable;
 }
 
-bool Controller::met_existing_record(const std::string& id) const {
+bool Controller::found_existing_record(const std::string& id) const {
     const auto* job = job_table_.find(id);
     return job && job->record.found_in_store;
 }
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -84,12 +84,13 @@
     /// cancelled, by this leader or a former one.
     [[nodiscard]] std::set<std::string> jobs_to_stop() const { return agents_.jobs_to_stop(); }
     /// Returns whether the job's first write found a record that already existed.
-    [[nodiscard]] bool met_existing_record(const std::string& id) const;
+    [[nodiscard]] bool found_existing_record(const std::string& id) const;
     /// Cancels a job, whose record is written next. Returns false if the job is done or unknown.
     bool cancel(const std::string& id, TimePoint now) { return job_table_.cancel(id, now); }
     /// Applies a terminal state that a write found in the key-value store.
-    void finished_by_record(const std::string& id, TerminalState terminal_state, TimePoint now) {
-        job_table_.finished_by_record(id, terminal_state, now);
+    void apply_recorded_terminal_state(const std::string& id, TerminalState terminal_state,
+                                       TimePoint now) {
+        job_table_.apply_recorded_terminal_state(id, terminal_state, now);
     }
     /// Replaces a job whose first write found a record of another controller by that record.
     void adopt_existing_record(const JobRecord& record, std::uint64_t mod_revision, TimePoint now) {
--- a/src/state/state_writer.cpp
+++ b/src/state/state_writer.cpp
@@ -258,7 +258,7 @@
     // rejected write would have said (StateWriter.TheTerminalRecordDecides).
     if (stored.terminal_state) {
         access.job_watch_cursor().ended(write.id, stored.terminal_mod_revision);
-        controller->finished_by_record(write.id, *stored.terminal_state, Clock::now());
+        controller->apply_recorded_terminal_state(write.id, *stored.terminal_state, Clock::now());
     } else if (stored.admitted_by_follower) {
         controller->adopt_existing_record(*stored.admitted_by_follower, stored.mod_revision,
                                           Clock::now());
--- a/tests/standin/leader_change_simulation.cpp
+++ b/tests/standin/leader_change_simulation.cpp
@@ -337,7 +337,8 @@
             if (terminal_state) terminal_states.put(change.id, *terminal_state);
             if (!same(term)) return;
             if (terminal_state)
-                controller()->finished_by_record(change.id, *terminal_state, timeline_.now());
+                controller()->apply_recorded_terminal_state(change.id, *terminal_state,
+                                                            timeline_.now());
             else
                 controller()->set_mod_revision(
                     change.type, change.id,
--- a/tests/standin/simulated_cluster_store.cpp
+++ b/tests/standin/simulated_cluster_store.cpp
@@ -111,7 +111,7 @@
         return;
     }
     if (terminal_states_.contains(change.id)) {
-        controller_->finished_by_record(change.id, terminal_states_.at(change.id), at());
+        controller_->apply_recorded_terminal_state(change.id, terminal_states_.at(change.id), at());
         return;
     }
     const auto it = jobs_.find(change.id);
--- a/tests/state_writer_test.cpp
+++ b/tests/state_writer_test.cpp
@@ -213,7 +213,7 @@
     access.request_write();
     ASSERT_TRUE(
         access.wait_for_commit(10s, [&] { return access.controller()->durable("job-11"); }));
-    EXPECT_TRUE(access.controller()->met_existing_record("job-11"));
+    EXPECT_TRUE(access.controller()->found_existing_record("job-11"));
     ASSERT_EQ(access.controller()->jobs().size(), 1U);
     EXPECT_EQ(access.controller()->jobs().begin()->second->spec.tasks, first.spec.tasks);
     access.remove_controller();
