--- a/src/agents/agent_command_client.cpp
+++ b/src/agents/agent_command_client.cpp
@@ -76,7 +76,8 @@
 
         auto access = leader_state_.lock();
         if (!access.controller() || access.controller()->term() != call.fencing_token) continue;
-        access.controller()->called(call, outcome, heartbeat ? &*heartbeat : nullptr, Clock::now());
+        access.controller()->complete_direct_call(call, outcome, heartbeat ? &*heartbeat : nullptr,
+                                                  Clock::now());
         access.request_write();
         if (may_allow_placement(call)) access.request_placement();
     }
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -78,7 +78,7 @@
         after = machines.back().name;
     }
     auto access = leader_state_.lock();
-    if (access.controller()) access.controller()->listed(machines, asked, Clock::now());
+    if (access.controller()) access.controller()->apply_cloud_list(machines, asked, Clock::now());
 }
 
 void CloudClient::scale_out(const core::ScaleOutRequest& request, std::uint64_t term) {
--- a/src/core/cluster/machine_inventory.cpp
+++ b/src/core/cluster/machine_inventory.cpp
@@ -118,8 +118,8 @@
     }
 }
 
-void MachineInventory::listed(const std::vector<ListedMachine>& machines, TimePoint asked,
-                              TimePoint now) {
+void MachineInventory::apply_cloud_list(const std::vector<ListedMachine>& machines, TimePoint asked,
+                                        TimePoint now) {
     std::set<std::string_view> names;
     for (const auto& entry : machines) names.insert(entry.name);
     for (auto& [name, machine] : machines_)
--- a/src/core/cluster/machine_inventory.hpp
+++ b/src/core/cluster/machine_inventory.hpp
@@ -68,7 +68,8 @@
                     TimePoint now);
     /// Applies the complete list of the cloud, which was requested at `asked`. Marks machines for
     /// release that are missing from the list although they should be on it.
-    void listed(const std::vector<ListedMachine>& machines, TimePoint asked, TimePoint now);
+    void apply_cloud_list(const std::vector<ListedMachine>& machines, TimePoint asked,
+                          TimePoint now);
 
     /// How a message of a machine arrived: as a heartbeat, or in the answer to a direct call.
     enum class Origin : std::uint8_t { heartbeat, direct_call };
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -75,9 +75,9 @@
     return agents_.direct_commands(now, may_start);
 }
 
-void Controller::called(const DirectCommand& call, CommandOutcome outcome, const Heartbeat* answer,
-                        TimePoint now) {
-    agents_.called(call, outcome, answer, now);
+void Controller::complete_direct_call(const DirectCommand& call, CommandOutcome outcome,
+                                      const Heartbeat* answer, TimePoint now) {
+    agents_.complete_direct_call(call, outcome, answer, now);
 }
 
 void Controller::cycle(TimePoint now) {
@@ -101,9 +101,9 @@
     job_table_.forget_all_terminal();
 }
 
-void Controller::listed(const std::vector<ListedMachine>& machines, TimePoint asked,
-                        TimePoint now) {
-    inventory_.listed(machines, asked, now);
+void Controller::apply_cloud_list(const std::vector<ListedMachine>& machines, TimePoint asked,
+                                  TimePoint now) {
+    inventory_.apply_cloud_list(machines, asked, now);
 }
 
 std::vector<RecordWrite> Controller::due_writes(std::size_t max_operations, TimePoint now) const {
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -101,12 +101,12 @@
 
     /// Applies a heartbeat and returns the response with the commands for the agent.
     HeartbeatResponse heartbeat(const Heartbeat& heartbeat, TimePoint now);
-    /// Returns the direct calls that are due; the outcome of each must be passed to `called`.
-    /// Without `may_start` the calls carry no starts.
+    /// Returns the direct calls that are due; the outcome of each must be passed to
+    /// `complete_direct_call`. Without `may_start` the calls carry no starts.
     [[nodiscard]] std::vector<DirectCommand> direct_commands(TimePoint now, bool may_start = true);
     /// Applies the outcome of a direct call. `answer` is the heartbeat in its response, or null.
-    void called(const DirectCommand& call, CommandOutcome outcome, const Heartbeat* answer,
-                TimePoint now);
+    void complete_direct_call(const DirectCommand& call, CommandOutcome outcome,
+                              const Heartbeat* answer, TimePoint now);
 
     /// Runs the placement cycle. Called every `Config::cycle` and whenever resources become free.
     void cycle(TimePoint now);
@@ -121,7 +121,8 @@
     /// Removes machines whose release the cloud has confirmed.
     void released(const std::vector<std::string>& names);
     /// Applies the complete machine list of the cloud, which was requested at `asked`.
-    void listed(const std::vector<ListedMachine>& machines, TimePoint asked, TimePoint now);
+    void apply_cloud_list(const std::vector<ListedMachine>& machines, TimePoint asked,
+                          TimePoint now);
 
     // Record writes (`WriteQueue`).
 
--- a/src/core/reconciliation/agent_gateway.cpp
+++ b/src/core/reconciliation/agent_gateway.cpp
@@ -14,8 +14,8 @@
       reconciliation_(catalog, inventory, job_table, estimates, failure_attribution_,
                       start_latency_, counts_) {}
 
-void AgentGateway::called(const DirectCommand& call, CommandOutcome outcome,
-                          const Heartbeat* answer, TimePoint now) {
+void AgentGateway::complete_direct_call(const DirectCommand& call, CommandOutcome outcome,
+                                        const Heartbeat* answer, TimePoint now) {
     auto* machine = inventory_.find(call.machine);
     if (!machine) return;
     machine->direct_calls.in_progress = false;
--- a/src/core/reconciliation/agent_gateway.hpp
+++ b/src/core/reconciliation/agent_gateway.hpp
@@ -50,14 +50,14 @@
 
     /// Applies a heartbeat and returns the response with the commands for the agent.
     [[nodiscard]] HeartbeatResponse heartbeat(const Heartbeat& heartbeat, TimePoint now);
-    /// Returns the direct calls that are due; the outcome of each must be passed to `called`.
-    /// Without `may_start` the calls carry no starts.
+    /// Returns the direct calls that are due; the outcome of each must be passed to
+    /// `complete_direct_call`. Without `may_start` the calls carry no starts.
     [[nodiscard]] std::vector<DirectCommand> direct_commands(TimePoint now, bool may_start) {
         return direct_commands_.due(now, may_start);
     }
     /// Applies the outcome of a direct call. `answer` is the heartbeat in its response, or null.
-    void called(const DirectCommand& call, CommandOutcome outcome, const Heartbeat* answer,
-                TimePoint now);
+    void complete_direct_call(const DirectCommand& call, CommandOutcome outcome,
+                              const Heartbeat* answer, TimePoint now);
     /// Stops and unbinds the tasks that have to leave draining or unreachable machines.
     void drain(TimePoint now) { command_planner_.drain(now); }
     /// Removes a machine whose release is confirmed, together with its tasks.
--- a/tests/leader_changes_test.cpp
+++ b/tests/leader_changes_test.cpp
@@ -356,7 +356,7 @@
     const auto calls = controller->direct_commands(start);
     ASSERT_EQ(calls.size(), 1U);
     const auto answer = heartbeat(2, 3);
-    controller->called(calls[0], core::CommandOutcome::executed, &answer, start);
+    controller->complete_direct_call(calls[0], core::CommandOutcome::executed, &answer, start);
     EXPECT_EQ(stopped(controller->heartbeat(heartbeat(1, 2), start)), Jobs{"job-100001"});
 }
 
--- a/tests/new_leader_test.cpp
+++ b/tests/new_leader_test.cpp
@@ -103,7 +103,7 @@
     const auto calls = controller_.direct_commands(start);
     ASSERT_EQ(calls.size(), 1U);
     const auto newer = heartbeat(term, 9);
-    controller_.called(calls[0], CommandOutcome::executed, &newer, start);
+    controller_.complete_direct_call(calls[0], CommandOutcome::executed, &newer, start);
     EXPECT_EQ(stops(controller_.heartbeat(heartbeat(term, 8), start).commands), 1U);
 }
 
@@ -113,7 +113,7 @@
     const auto calls = controller_.direct_commands(start);
     ASSERT_EQ(calls.size(), 1U);
     const auto seen = heartbeat(term, 1);
-    controller_.called(calls[0], CommandOutcome::executed, &seen, start);
+    controller_.complete_direct_call(calls[0], CommandOutcome::executed, &seen, start);
     EXPECT_EQ(controller_.unconfirmed(), 0U);
     EXPECT_EQ(controller_.jobs_to_stop(), std::set<std::string>{"job-1"});
 
--- a/tests/standin/leader_change_simulation.cpp
+++ b/tests/standin/leader_change_simulation.cpp
@@ -824,7 +824,8 @@
             if (std::exchange(*settled, true)) return;
             auto* const controller = from->leader_state.lock().controller();
             if (!controller || controller->term() != call.fencing_token) return;
-            controller->called(call, outcome, heartbeat ? &*heartbeat : nullptr, timeline_.now());
+            controller->complete_direct_call(call, outcome, heartbeat ? &*heartbeat : nullptr,
+                                             timeline_.now());
             from->leader_state.lock().request_write();
             from->leader_state.lock().request_placement();
         });
--- a/tests/standin/simulated_cluster.cpp
+++ b/tests/standin/simulated_cluster.cpp
@@ -123,7 +123,7 @@
     }
     for (auto* from : {controller_.get(), former_leader_.get()})
         if (from && from->term() == command.fencing_token)
-            from->called(command, outcome, &heartbeat, at());
+            from->complete_direct_call(command, outcome, &heartbeat, at());
 }
 
 void SimulatedCluster::deliver_command_responses() {
@@ -135,8 +135,8 @@
     for (const auto& late : arrived)
         for (auto* from : {controller_.get(), former_leader_.get()})
             if (from && from->term() == late.deliver_command.fencing_token)
-                from->called(late.deliver_command, core::CommandOutcome::executed, &late.heartbeat,
-                             at());
+                from->complete_direct_call(late.deliver_command, core::CommandOutcome::executed,
+                                           &late.heartbeat, at());
 }
 
 void SimulatedCluster::execute_commands(SimulatedAgent& agent,
@@ -325,7 +325,7 @@
             continue;
         }
         delayed_commands_.push_back(due);
-        from.called(due, core::CommandOutcome::unknown, nullptr, at());
+        from.complete_direct_call(due, core::CommandOutcome::unknown, nullptr, at());
     }
 }
 
--- a/tests/standin/simulated_cluster_scenario.cpp
+++ b/tests/standin/simulated_cluster_scenario.cpp
@@ -306,7 +306,7 @@
         if (!agent.dead && name != arguments.option("without"))
             list.push_back({name, name, agent.type, agent.zone, agent.spot,
                             core::MachineStage::running, Seconds{0}});
-    controller_->listed(list, at(), at());
+    controller_->apply_cloud_list(list, at(), at());
 }
 
 void SimulatedCluster::deliver_delayed_commands() {
