--- a/src/core/cluster/machine_inventory.cpp
+++ b/src/core/cluster/machine_inventory.cpp
@@ -354,7 +354,7 @@
                config_.workers.heartbeat * max_missed_heartbeats + heartbeat_margin;
 }
 
-std::size_t MachineInventory::unconfirmed() const {
+std::size_t MachineInventory::unfenced_machine_count() const {
     return static_cast<std::size_t>(
         std::count_if(machines_.begin(), machines_.end(), [](const auto& entry) {
             return entry.second.record.durable && !entry.second.fencing.confirmed;
--- a/src/core/cluster/machine_inventory.hpp
+++ b/src/core/cluster/machine_inventory.hpp
@@ -109,7 +109,7 @@
     /// Returns whether a job of an older term may have tasks on machines that are not fenced yet.
     [[nodiscard]] bool may_have_unfenced_tasks(const Job& job) const;
     /// Returns the number of recorded machines that have not reported this term's fencing token.
-    [[nodiscard]] std::size_t unconfirmed() const;
+    [[nodiscard]] std::size_t unfenced_machine_count() const;
     /// Records that the machine has cached the job's image. Images that no longer fit into the
     /// cache are assumed to be evicted.
     void add_cached_image(Machine& machine, const Job& job);
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -148,7 +148,9 @@
     }
 
     // For tests and logs.
-    [[nodiscard]] std::size_t unconfirmed() const { return inventory_.unconfirmed(); }
+    [[nodiscard]] std::size_t unfenced_machine_count() const {
+        return inventory_.unfenced_machine_count();
+    }
     const std::map<std::string, Machine>& machines() const { return inventory_.all(); }
     const JobTable::Jobs& jobs() const { return job_table_.all(); }
     const AgentCounters& counts() const { return agents_.counts(); }
--- a/src/leadership/cancellation_replication.cpp
+++ b/src/leadership/cancellation_replication.cpp
@@ -21,7 +21,7 @@
 
 CancelledJobs cancelled_jobs(const core::Controller& controller) {
     // A machine that has not shown this term's token may hold what a former leader cancelled.
-    return {controller.unconfirmed() == 0, controller.jobs_to_stop()};
+    return {controller.unfenced_machine_count() == 0, controller.jobs_to_stop()};
 }
 
 CancellationReplication::CancellationReplication(std::string name,
--- a/src/state/failover_progress.cpp
+++ b/src/state/failover_progress.cpp
@@ -18,7 +18,7 @@
 }  // namespace
 
 void FailoverProgress::loaded(const core::Controller& controller, Clock::time_point now) {
-    recorded_machines_ = controller.unconfirmed();
+    recorded_machines_ = controller.unfenced_machine_count();
     half_logged_ = all_logged_ = any_fenced_ = recorded_machines_ == 0;
     io::log::info("records_loaded", "open_jobs", controller.jobs().size(), "machines",
                   recorded_machines_, "after_s", two_decimals(seconds_since_election(now)));
@@ -33,7 +33,7 @@
 }
 
 void FailoverProgress::observe_machines(const core::Controller& controller, Clock::time_point now) {
-    const auto unfenced = controller.unconfirmed();
+    const auto unfenced = controller.unfenced_machine_count();
     any_fenced_ |= unfenced < recorded_machines_;
     if (!half_logged_ && unfenced * 2 <= recorded_machines_) {
         half_logged_ = true;
--- a/tests/new_leader_test.cpp
+++ b/tests/new_leader_test.cpp
@@ -114,7 +114,7 @@
     ASSERT_EQ(calls.size(), 1U);
     const auto seen = heartbeat(term, 1);
     controller_.complete_direct_call(calls[0], CommandOutcome::executed, &seen, start);
-    EXPECT_EQ(controller_.unconfirmed(), 0U);
+    EXPECT_EQ(controller_.unfenced_machine_count(), 0U);
     EXPECT_EQ(controller_.jobs_to_stop(), std::set<std::string>{"job-1"});
 
     auto gone = heartbeat(term, 2);
