--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -181,8 +181,8 @@
 // by its deadline, or within about a boot where it has none.
 std::uint32_t Autoscaler::wanted(const Job& job, TimePoint now) const {
     // Machines are not paid for a job that fails everywhere while it waits for its next try.
-    if (job.suspect() && job.failures.retry_not_before > now) return 0;
-    const auto left = std::min(job.spec.tasks - job.progress.finished, job.tasks_tried_at_once());
+    if (job.is_suspect() && job.failures.retry_not_before > now) return 0;
+    const auto left = std::min(job.spec.tasks - job.progress.finished, job.max_concurrent_tasks());
     if (job.spec.kind != Kind::array || left == 0) return left;
     const auto run = estimates_.expected_run(job);
     Seconds horizon = run;
--- a/src/core/cluster/job.hpp
+++ b/src/core/cluster/job.hpp
@@ -126,7 +126,7 @@
 
 /// Failed attempts (`FailureAttribution`). A job that has failed on one machine only is not blamed.
 struct JobFailures {
-    std::uint32_t tries_in_a_row = 0;
+    std::uint32_t consecutive_failures = 0;
     std::set<std::string> machines;  // on which the job failed
     TimePoint last_at{};
     TimePoint retry_not_before{};
@@ -181,13 +181,13 @@
     [[nodiscard]] bool is_terminal() const { return terminal.state != TerminalState::none; }
     /// Returns whether the job has failed on several machines without completing a task, which
     /// suggests an error in the job itself.
-    [[nodiscard]] bool suspect() const {
+    [[nodiscard]] bool is_suspect() const {
         return failures.machines.size() >= suspect_machine_threshold && progress.finished == 0;
     }
     /// Returns how many tasks of the job may be placed at the same time; one at a time for a
     /// suspect job.
-    [[nodiscard]] std::uint32_t tasks_tried_at_once() const {
-        return suspect() && spec.kind != Kind::gang ? 1 : spec.tasks;
+    [[nodiscard]] std::uint32_t max_concurrent_tasks() const {
+        return is_suspect() && spec.kind != Kind::gang ? 1 : spec.tasks;
     }
     /// Returns the first idle task, or the number of tasks if none is idle.
     std::uint32_t find_first_idle();
--- a/src/core/reconciliation/failure_attribution.cpp
+++ b/src/core/reconciliation/failure_attribution.cpp
@@ -29,16 +29,17 @@
 // Failures of several jobs are attributed to the machine, failures on several machines to the job.
 void FailureAttribution::record_failure(Machine& machine, Job& job, TimePoint commanded_at,
                                         TimePoint now) {
-    const bool was_suspect = job.suspect();
+    const bool was_suspect = job.is_suspect();
     job.failures.machines.insert(machine.identity.name);
-    if (job.suspect() && !was_suspect) update_job_weight(job, suspect_job_weight);
-    machine.failures.weight_by_job[job.spec.id] = job.suspect() ? suspect_job_weight : 1;
+    if (job.is_suspect() && !was_suspect) update_job_weight(job, suspect_job_weight);
+    machine.failures.weight_by_job[job.spec.id] = job.is_suspect() ? suspect_job_weight : 1;
     update_at_fault(machine);
     // Tasks that were started together fail together and count as one attempt.
-    if (job.failures.tries_in_a_row > 0 && commanded_at < job.failures.last_at) return;
-    ++job.failures.tries_in_a_row;
+    if (job.failures.consecutive_failures > 0 && commanded_at < job.failures.last_at) return;
+    ++job.failures.consecutive_failures;
     job.failures.last_at = now;
-    const double doublings = std::min(job.failures.tries_in_a_row, max_backoff_failures) - 1.0;
+    const double doublings =
+        std::min(job.failures.consecutive_failures, max_backoff_failures) - 1.0;
     job.failures.retry_not_before =
         later(now, std::min(max_backoff, initial_backoff * std::pow(2.0, doublings)));
 }
@@ -61,7 +62,7 @@
 void FailureAttribution::clear_job_failures(Job& job) {
     update_job_weight(job, 1);
     job.failures.machines.clear();
-    job.failures.tries_in_a_row = 0;
+    job.failures.consecutive_failures = 0;
 }
 
 void FailureAttribution::update_at_fault(Machine& machine) {
--- a/src/core/scheduling/placement_cycle.cpp
+++ b/src/core/scheduling/placement_cycle.cpp
@@ -123,7 +123,7 @@
             for (const bool spot : {false, true})
                 out.groups.push_back(allowed(job.spec, type.name, zone, spot) &&
                                      (!under_minimum_share || catalog_.suits(job.spec, type)));
-    if (job.failures.tries_in_a_row > 0 && between(job.failures.last_at, now) < excluded_for)
+    if (job.failures.consecutive_failures > 0 && between(job.failures.last_at, now) < excluded_for)
         out.barred = excluded(job, snapshot);
     return out;
 }
@@ -169,7 +169,7 @@
         if (!job->starvation.waiting_since) job->starvation.waiting_since = now;
         if (between(*job->starvation.waiting_since, now) > starved_after)
             job->starvation.starved = true;
-        const auto tried = job->tasks_tried_at_once();
+        const auto tried = job->max_concurrent_tasks();
         if (!gang && job->progress.placed >= tried) continue;
         const auto tasks =
             std::min(quota.remaining_tasks(*job), gang ? idle : tried - job->progress.placed);
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -241,7 +241,7 @@
         if (eligibility.priority == Priority::low && !eligibility.guaranteed) continue;
         // Guard against work that never ends: a mistaken job stopped others at each of its tries,
         // every half minute for as long as it was open.
-        if (job->suspect() || job->failures.tries_in_a_row >= most_failed_tries) continue;
+        if (job->is_suspect() || job->failures.consecutive_failures >= most_failed_tries) continue;
         // Guard against wrong_place: plans do not look at how many of the job's tasks a zone has.
         // Only gangs were left out, and an array was put into one zone beyond half of its tasks.
         if (job->spec.spread && job->spec.tasks > 1) continue;
