--- a/src/core/cluster/job_table.cpp
+++ b/src/core/cluster/job_table.cpp
@@ -192,7 +192,7 @@
         if (assignment.stage != Assignment::Stage::bound) stop(assignment, grace);
 }
 
-Seconds JobTable::stop_to_save(Job& job, Assignment& assignment) {
+Seconds JobTable::stop_gracefully(Job& job, Assignment& assignment) {
     const auto grace = job.spec.saves() ? job.spec.save_time + Seconds{1} : Seconds{0};
     if (job.spec.kind == Kind::gang)
         stop_all(job, grace);
@@ -201,7 +201,7 @@
     return grace;
 }
 
-void JobTable::break_gang(Job& job, std::uint64_t attempt) {
+void JobTable::abort_gang_attempt(Job& job, std::uint64_t attempt) {
     if (job.spec.kind != Kind::gang) return;
     std::vector<std::uint32_t> bound;
     for (auto& [index, assignment] : job.assignments) {
@@ -224,7 +224,7 @@
         const auto attempt = it->second.attempt;
         if (it->second.stage != Assignment::Stage::bound) ++lost;
         unassign(*job, index);
-        if (!job->is_terminal()) break_gang(*job, attempt);
+        if (!job->is_terminal()) abort_gang_attempt(*job, attempt);
     }
     return lost;
 }
--- a/src/core/cluster/job_table.hpp
+++ b/src/core/cluster/job_table.hpp
@@ -80,10 +80,10 @@
     static void stop_all(Job& job, Seconds grace);
     /// Stops a task with time to save a checkpoint. All tasks of a gang are stopped together, so
     /// that their progress is saved. Returns the grace period.
-    static Seconds stop_to_save(Job& job, Assignment& assignment);
+    static Seconds stop_gracefully(Job& job, Assignment& assignment);
     /// Stops and unbinds the remaining tasks of a gang's attempt after one of them is gone. Does
     /// nothing for jobs that are not gangs.
-    void break_gang(Job& job, std::uint64_t attempt);
+    void abort_gang_attempt(Job& job, std::uint64_t attempt);
     /// Unassigns all tasks of a machine that is gone. Returns how many of them were commanded or
     /// reported.
     [[nodiscard]] std::uint32_t mark_lost(Machine& machine);
--- a/src/core/reconciliation/command_planner.cpp
+++ b/src/core/reconciliation/command_planner.cpp
@@ -75,7 +75,7 @@
         if (it == job->assignments.end()) continue;
         const auto attempt = it->second.attempt;
         job_table_.unassign(*job, index);
-        job_table_.break_gang(*job, attempt);
+        job_table_.abort_gang_attempt(*job, attempt);
     }
 }
 
@@ -92,7 +92,7 @@
             if (!saves || estimates_.remaining(job, assignment, now) < left) continue;
             if (left > job.spec.save_time + config_.workers.heartbeat + Seconds{1}) continue;
         }
-        JobTable::stop_to_save(job, assignment);
+        JobTable::stop_gracefully(job, assignment);
     }
 }
 
--- a/src/core/reconciliation/task_reconciliation.cpp
+++ b/src/core/reconciliation/task_reconciliation.cpp
@@ -165,12 +165,12 @@
                 continue;
             }
             job_table_.unassign(job, key.index);
-            if (!job.is_terminal()) job_table_.break_gang(job, attempt);
+            if (!job.is_terminal()) job_table_.abort_gang_attempt(job, attempt);
             continue;
         }
         ++counts_.lost;
         job_table_.unassign(job, key.index);
-        job_table_.break_gang(job, attempt);
+        job_table_.abort_gang_attempt(job, attempt);
     }
 }
 
@@ -224,7 +224,7 @@
         ++counts_.errors;
         failure_attribution_.record_failure(machine, job, commanded_at, now);
     }
-    if (!job.is_terminal()) job_table_.break_gang(job, task.attempt);
+    if (!job.is_terminal()) job_table_.abort_gang_attempt(job, task.attempt);
 }
 
 }  // namespace bendspindle::core
--- a/src/core/scheduling/placement_cycle.cpp
+++ b/src/core/scheduling/placement_cycle.cpp
@@ -53,7 +53,7 @@
         std::set<std::uint64_t> attempts;
         for (const auto& [index, assignment] : job->assignments)
             attempts.insert(assignment.attempt);
-        for (const auto attempt : attempts) job_table_.break_gang(*job, attempt);
+        for (const auto attempt : attempts) job_table_.abort_gang_attempt(*job, attempt);
     }
 }
 
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -205,7 +205,7 @@
     for (const auto& plan : plans) {
         Seconds longest{0};
         for (const auto& victim : plan.victims)
-            longest = std::max(longest, JobTable::stop_to_save(
+            longest = std::max(longest, JobTable::stop_gracefully(
                                             *victim.job, victim.job->assignments.at(victim.index)));
         if (!gang) attempt = job_table_.next_attempt();
         const auto run = estimates_.expected_run(job);
