--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -325,7 +325,7 @@
 ScalingPlan Autoscaler::plan(TimePoint now) {
     ScalingPlan out;
     if (!catalog_.known()) return out;
-    inventory_.keep_time(now);
+    inventory_.compensate_for_own_pause(now);
     const auto packing = pack(wants(now), now);
     for (const auto& pool : packing.pools()) {
         if (pool.to_scale_out == 0) continue;
--- a/src/core/cluster/machine.hpp
+++ b/src/core/cluster/machine.hpp
@@ -73,7 +73,7 @@
 };
 
 /// Times of contact. `last_contact` and `last_unprompted_at` are moved forward by pauses of this
-/// controller (`MachineInventory::keep_time`); `last_message_at` never is.
+/// controller (`MachineInventory::compensate_for_own_pause`); `last_message_at` never is.
 struct MachineContact {
     bool has_reported = false;  // has sent any message in this term
     TimePoint first_seen{};
--- a/src/core/cluster/machine_inventory.cpp
+++ b/src/core/cluster/machine_inventory.cpp
@@ -255,7 +255,7 @@
 
 // Guard against releasing all machines after a pause of this controller: a controller that had been
 // paused for longer than a lease found that no machine had been in contact for as long.
-void MachineInventory::keep_time(TimePoint now) {
+void MachineInventory::compensate_for_own_pause(TimePoint now) {
     const auto last = std::exchange(last_check_, now);
     if (!last) return;
     const auto paused = between(*last, now);
@@ -304,7 +304,7 @@
 }
 
 void MachineInventory::update_health(TimePoint now) {
-    keep_time(now);
+    compensate_for_own_pause(now);
     release_unreachable(now);
     for (auto& [name, machine] : machines_) {
         if (machine.lifecycle.releasing) continue;
--- a/src/core/cluster/machine_inventory.hpp
+++ b/src/core/cluster/machine_inventory.hpp
@@ -86,7 +86,7 @@
     /// Moves the times of contact forward by a pause of this controller, so that no machine counts
     /// as silent because of it. Must be called at least once a cycle, before any timeout is
     /// evaluated.
-    void keep_time(TimePoint now);
+    void compensate_for_own_pause(TimePoint now);
     /// Marks machines for release that are silent, failed to boot, are at fault, or run tasks that
     /// must be gone.
     void update_health(TimePoint now);
@@ -160,7 +160,7 @@
     const MachineCatalog& catalog_;
     std::map<std::string, Machine> machines_;
     std::map<std::string, std::uint64_t> pending_record_deletions_;
-    std::optional<TimePoint> last_check_;            // time of the last `keep_time`
+    std::optional<TimePoint> last_check_;            // time of the last `compensate_for_own_pause`
     std::deque<TimePoint> unreachable_released_at_;  // within the last lease
     std::set<std::string> removed_;                  // the most recent removals, bounded in number
     std::deque<std::string> removed_order_;
