--- a/src/core/cluster/job.hpp
+++ b/src/core/cluster/job.hpp
@@ -71,7 +71,7 @@
     // The start was sent in a direct call whose outcome is unknown. The call may still be in
     // flight, so the absence of the task from a task list proves nothing.
     bool direct_start_unsettled = false;
-    TimePoint since{};  // when the current stage was entered
+    TimePoint stage_entered_at{};  // when the current stage was entered
     TimePoint bound_at{};
     TimePoint commanded_at{};  // unset if adopted from a former leader
     TimePoint reported_at{};
--- a/src/core/cluster/job_table.cpp
+++ b/src/core/cluster/job_table.cpp
@@ -154,7 +154,7 @@
 
 void JobTable::bind(Job& job, Machine& machine, Assignment assignment, TimePoint now) {
     assignment.machine = machine.identity.name;
-    assignment.since = assignment.bound_at = now;
+    assignment.stage_entered_at = assignment.bound_at = now;
     job.last_attempt = std::max(job.last_attempt, assignment.attempt);
     assign(machine, job, job.find_first_idle(), assignment);
     machine.lifecycle.idle_since = now;
--- a/src/core/reconciliation/command_planner.cpp
+++ b/src/core/reconciliation/command_planner.cpp
@@ -148,7 +148,7 @@
         assignment.stage = Assignment::Stage::commanded;
         assignment.started_in_agent_epoch = machine.fencing.agent_epoch;
         assignment.direct_start_unsettled = direct;
-        assignment.since = assignment.commanded_at = now;
+        assignment.stage_entered_at = assignment.commanded_at = now;
         job->starvation.waiting_since.reset();
         ++counts_.starts;
         commands.push_back({TaskCommand::Verb::start, job->spec.id, index, assignment.attempt, {}});
--- a/src/core/reconciliation/task_reconciliation.cpp
+++ b/src/core/reconciliation/task_reconciliation.cpp
@@ -80,7 +80,7 @@
     if (assigned_here) {
         auto& assignment = it->second;
         if (assignment.stage != Assignment::Stage::reported)
-            assignment.since = assignment.reported_at = now;
+            assignment.stage_entered_at = assignment.reported_at = now;
         assignment.stage = Assignment::Stage::reported;
         assignment.direct_start_unsettled = false;
         const bool was_running = assignment.state == TaskState::running;
@@ -127,7 +127,7 @@
     assignment.attempt = task.attempt;
     assignment.stage = Assignment::Stage::reported;
     assignment.state = task.state;
-    assignment.since = assignment.running_since = now;
+    assignment.stage_entered_at = assignment.running_since = now;
     if (!wanted) JobTable::stop(assignment, Seconds{0});
     job_table_.assign(machine, job, task.index, assignment);
 }
@@ -161,7 +161,7 @@
             ++counts_.refused_starts;
             if (!job.is_terminal() && !assignment.stopping && job.spec.kind != Kind::gang) {
                 assignment.stage = Assignment::Stage::bound;
-                assignment.since = now;
+                assignment.stage_entered_at = now;
                 continue;
             }
             job_table_.unassign(job, key.index);
--- a/src/core/scheduling/placement_cycle.cpp
+++ b/src/core/scheduling/placement_cycle.cpp
@@ -77,7 +77,8 @@
         view.releases.push_back({left, job.spec.need});
         if (assignment.state == TaskState::fetching && job.image != 0 && !view.image(job.image)) {
             const Seconds whole{job.spec.image_gb / view.fetch_gb_per_s};
-            view.fetch_queue += std::max(whole - between(assignment.since, now), Seconds{0.5});
+            view.fetch_queue +=
+                std::max(whole - between(assignment.stage_entered_at, now), Seconds{0.5});
             view.images.push_back({job.image, view.fetch_queue});
         }
     }
