--- a/src/core/write_queue.cpp
+++ b/src/core/write_queue.cpp
@@ -77,7 +77,7 @@
     }
     for (const auto& [name, mod_revision] : inventory_.records_to_delete()) {
         RecordWrite write;
-        write.type = RecordWrite::Type::drop_machine;
+        write.type = RecordWrite::Type::delete_machine;
         write.id = name;
         write.mod_revision = mod_revision;
         if (!batch.add(std::move(write))) return;
@@ -116,7 +116,7 @@
         using Type = RecordWrite::Type;
         if (write.type == Type::put_machine) {
             inventory_.mark_recorded(write.id, mod_revision);
-        } else if (write.type == Type::drop_machine) {
+        } else if (write.type == Type::delete_machine) {
             inventory_.mark_record_deleted(write.id);
         } else if (auto* job = job_table_.find(write.id)) {
             job_table_.mark_committed(*job, write.job, write.version, mod_revision, now);
@@ -129,7 +129,7 @@
                                   std::uint64_t mod_revision) {
     if (type == RecordWrite::Type::put_machine)
         inventory_.set_mod_revision(id, mod_revision);
-    else if (type == RecordWrite::Type::drop_machine)
+    else if (type == RecordWrite::Type::delete_machine)
         inventory_.set_deleted_record_mod_revision(id, mod_revision);
     else
         job_table_.set_mod_revision(id, mod_revision);
--- a/src/core/write_queue.hpp
+++ b/src/core/write_queue.hpp
@@ -20,7 +20,7 @@
 /// A conditional write of a record, which succeeds only if `mod_revision` is still current (0: no
 /// record exists). `version` is passed back with the outcome.
 struct RecordWrite {
-    enum class Type : std::uint8_t { put_job, finish_job, put_machine, drop_machine };
+    enum class Type : std::uint8_t { put_job, finish_job, put_machine, delete_machine };
     Type type = Type::put_job;
     std::string id;
     std::uint64_t version = 0;
--- a/src/state/state_writer.cpp
+++ b/src/state/state_writer.cpp
@@ -122,7 +122,7 @@
             batch.operations.push_back(
                 {keys::machine(write.id), wire::machine_record(write.machine), {}});
             break;
-        case Type::drop_machine:
+        case Type::delete_machine:
             batch.conditions.push_back(unchanged);
             batch.operations.push_back({keys::machine(write.id), std::nullopt, {}});
             break;
--- a/tests/standin/leader_change_simulation.cpp
+++ b/tests/standin/leader_change_simulation.cpp
@@ -297,7 +297,7 @@
             case Type::put_machine:
                 operations.push_back({key, wire::machine_record(change.machine), {}});
                 break;
-            case Type::drop_machine:
+            case Type::delete_machine:
                 operations.push_back({key, std::nullopt, {}});
                 break;
         }
--- a/tests/standin/simulated_cluster_store.cpp
+++ b/tests/standin/simulated_cluster_store.cpp
@@ -69,7 +69,7 @@
 
 bool SimulatedCluster::condition_holds(const core::RecordWrite& change) const {
     using Type = core::RecordWrite::Type;
-    if (change.type == Type::put_machine || change.type == Type::drop_machine) {
+    if (change.type == Type::put_machine || change.type == Type::delete_machine) {
         const auto it = records_.find(change.id);
         return change.mod_revision == (it == records_.end() ? 0 : it->second.second);
     }
@@ -104,7 +104,7 @@
 void SimulatedCluster::reconcile_conflict(const core::RecordWrite& change) {
     if (condition_holds(change)) return;
     using Type = core::RecordWrite::Type;
-    if (change.type == Type::put_machine || change.type == Type::drop_machine) {
+    if (change.type == Type::put_machine || change.type == Type::delete_machine) {
         const auto it = records_.find(change.id);
         controller_->set_mod_revision(change.type, change.id,
                                       it == records_.end() ? 0 : it->second.second);
