--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -41,8 +41,8 @@
     return true;
 }
 
-Verdict Controller::check(const JobSpec& spec) const {
-    return judge(spec, config_.teams, catalog_.types());
+Feasibility Controller::check(const JobSpec& spec) const {
+    return check_feasibility(spec, config_.teams, catalog_.types());
 }
 
 bool Controller::accept(const JobSpec& spec, WallTime submitted, TimePoint now) {
@@ -57,7 +57,7 @@
     return job && job->record.durable;
 }
 
-bool Controller::met_existing_record(const std::string& id) const {
+bool Controller::found_existing_record(const std::string& id) const {
     const auto* job = job_table_.find(id);
     return job && job->record.found_in_store;
 }
@@ -75,9 +75,9 @@
     return agents_.direct_commands(now, may_start);
 }
 
-void Controller::called(const DirectCommand& call, CommandOutcome outcome, const Heartbeat* answer,
-                        TimePoint now) {
-    agents_.called(call, outcome, answer, now);
+void Controller::complete_direct_call(const DirectCommand& call, CommandOutcome outcome,
+                                      const Heartbeat* answer, TimePoint now) {
+    agents_.complete_direct_call(call, outcome, answer, now);
 }
 
 void Controller::cycle(TimePoint now) {
@@ -101,26 +101,26 @@
     job_table_.forget_all_terminal();
 }
 
-void Controller::listed(const std::vector<ListedMachine>& machines, TimePoint asked,
-                        TimePoint now) {
-    inventory_.listed(machines, asked, now);
+void Controller::apply_cloud_list(const std::vector<ListedMachine>& machines, TimePoint asked,
+                                  TimePoint now) {
+    inventory_.apply_cloud_list(machines, asked, now);
 }
 
-std::vector<RecordWrite> Controller::changes(std::size_t most_operations, TimePoint now) const {
-    return write_queue_.due(most_operations, now);
+std::vector<RecordWrite> Controller::due_writes(std::size_t max_operations, TimePoint now) const {
+    return write_queue_.due(max_operations, now);
 }
 
-std::vector<std::string> Controller::sent(const std::vector<RecordWrite>& changes) {
-    return write_queue_.sent(changes);
+std::vector<std::string> Controller::mark_sent(const std::vector<RecordWrite>& writes) {
+    return write_queue_.mark_sent(writes);
 }
 
-void Controller::rejected(const std::vector<std::string>& terminal_states) {
-    write_queue_.rejected(terminal_states);
+void Controller::mark_rejected(const std::vector<std::string>& terminal_states) {
+    write_queue_.mark_rejected(terminal_states);
 }
 
-void Controller::committed(const std::vector<RecordWrite>& changes, std::uint64_t mod_revision,
-                           TimePoint now) {
-    write_queue_.committed(changes, mod_revision, now);
+void Controller::mark_committed(const std::vector<RecordWrite>& writes, std::uint64_t mod_revision,
+                                TimePoint now) {
+    write_queue_.mark_committed(writes, mod_revision, now);
 }
 
 void Controller::set_mod_revision(RecordWrite::Type type, const std::string& id,
--- a/src/core/scheduling/placement_cycle.cpp
+++ b/src/core/scheduling/placement_cycle.cpp
@@ -53,7 +53,7 @@
         std::set<std::uint64_t> attempts;
         for (const auto& [index, assignment] : job->assignments)
             attempts.insert(assignment.attempt);
-        for (const auto attempt : attempts) job_table_.break_gang(*job, attempt);
+        for (const auto attempt : attempts) job_table_.abort_gang_attempt(*job, attempt);
     }
 }
 
@@ -77,7 +77,8 @@
         view.releases.push_back({left, job.spec.need});
         if (assignment.state == TaskState::fetching && job.image != 0 && !view.image(job.image)) {
             const Seconds whole{job.spec.image_gb / view.fetch_gb_per_s};
-            view.fetch_queue += std::max(whole - between(assignment.since, now), Seconds{0.5});
+            view.fetch_queue +=
+                std::max(whole - between(assignment.stage_entered_at, now), Seconds{0.5});
             view.images.push_back({job.image, view.fetch_queue});
         }
     }
@@ -123,7 +124,7 @@
             for (const bool spot : {false, true})
                 out.groups.push_back(allowed(job.spec, type.name, zone, spot) &&
                                      (!under_minimum_share || catalog_.suits(job.spec, type)));
-    if (job.failures.tries_in_a_row > 0 && between(job.failures.last_at, now) < excluded_for)
+    if (job.failures.consecutive_failures > 0 && between(job.failures.last_at, now) < excluded_for)
         out.barred = excluded(job, snapshot);
     return out;
 }
@@ -169,7 +170,7 @@
         if (!job->starvation.waiting_since) job->starvation.waiting_since = now;
         if (between(*job->starvation.waiting_since, now) > starved_after)
             job->starvation.starved = true;
-        const auto tried = job->tasks_tried_at_once();
+        const auto tried = job->max_concurrent_tasks();
         if (!gang && job->progress.placed >= tried) continue;
         const auto tasks =
             std::min(quota.remaining_tasks(*job), gang ? idle : tried - job->progress.placed);
--- a/src/state/state_writer.cpp
+++ b/src/state/state_writer.cpp
@@ -83,11 +83,11 @@
     const auto now = Clock::now();
     std::erase_if(quarantined_, [&](const auto& entry) { return entry.second <= now; });
     const auto most = limits_.txn_ops + quarantined_.size() * 2;
-    for (auto& write : controller->changes(most, now)) {
+    for (auto& write : controller->due_writes(most, now)) {
         if (quarantined_.contains(write.id)) continue;
         if (add(std::move(write), batch) == Added::batch_full) break;
     }
-    batch.terminal_states = controller->sent(batch.writes);
+    batch.terminal_states = controller->mark_sent(batch.writes);
     return batch;
 }
 
@@ -122,7 +122,7 @@
             batch.operations.push_back(
                 {keys::machine(write.id), wire::machine_record(write.machine), {}});
             break;
-        case Type::drop_machine:
+        case Type::delete_machine:
             batch.conditions.push_back(unchanged);
             batch.operations.push_back({keys::machine(write.id), std::nullopt, {}});
             break;
@@ -174,7 +174,7 @@
     if (controller == nullptr) return;
     for (const auto& write : batch.writes)
         if (write.type == Type::finish_job) access.job_watch_cursor().ended(write.id, revision);
-    controller->committed(batch.writes, revision, Clock::now());
+    controller->mark_committed(batch.writes, revision, Clock::now());
     access.notify_committed();
     access.request_placement();
 }
@@ -184,7 +184,7 @@
 void StateWriter::resolve_rejected(const Batch& batch) {
     const auto access = leader_state_.lock();
     if (auto* const controller = access.controller_of(batch.term))
-        controller->rejected(batch.terminal_states);
+        controller->mark_rejected(batch.terminal_states);
 }
 
 // Guard against a standstill of all writing: one record that the store calls malformed, too large
@@ -258,7 +258,7 @@
     // rejected write would have said (StateWriter.TheTerminalRecordDecides).
     if (stored.terminal_state) {
         access.job_watch_cursor().ended(write.id, stored.terminal_mod_revision);
-        controller->finished_by_record(write.id, *stored.terminal_state, Clock::now());
+        controller->apply_recorded_terminal_state(write.id, *stored.terminal_state, Clock::now());
     } else if (stored.admitted_by_follower) {
         controller->adopt_existing_record(*stored.admitted_by_follower, stored.mod_revision,
                                           Clock::now());
--- a/tests/standin/leader_change_simulation.cpp
+++ b/tests/standin/leader_change_simulation.cpp
@@ -256,9 +256,9 @@
             leader_state.lock().take_write_request();
             if (!controller()) continue;
             const auto term = controller()->term();
-            const auto changes = controller()->changes(12, timeline_.now());
+            const auto changes = controller()->due_writes(12, timeline_.now());
             if (changes.empty()) continue;
-            const auto terminal_states_sent = controller()->sent(changes);
+            const auto terminal_states_sent = controller()->mark_sent(changes);
             std::vector<wire::Condition> conditions{
                 {state::keys::leader, leader_state.lock().leader_key_revision()}};
             std::vector<wire::Operation> operations;
@@ -270,7 +270,7 @@
                 read_back(changes, term, cas_result.failed);
             } else {
                 if (cas_result.outcome != StoreStatus::unknown && same(term))
-                    controller()->rejected(terminal_states_sent);
+                    controller()->mark_rejected(terminal_states_sent);
                 timeline_.wait(Seconds{0.15 + 0.3 * world_.below_one()});
             }
         }
@@ -297,7 +297,7 @@
             case Type::put_machine:
                 operations.push_back({key, wire::machine_record(change.machine), {}});
                 break;
-            case Type::drop_machine:
+            case Type::delete_machine:
                 operations.push_back({key, std::nullopt, {}});
                 break;
         }
@@ -308,7 +308,7 @@
         for (const auto& change : changes)
             if (change.type == core::RecordWrite::Type::finish_job)
                 terminal_states.put(change.id, change.job.terminal_state);
-        if (same(term)) controller()->committed(changes, revision, timeline_.now());
+        if (same(term)) controller()->mark_committed(changes, revision, timeline_.now());
         leader_state.lock().request_placement();
     }
 
@@ -337,7 +337,8 @@
             if (terminal_state) terminal_states.put(change.id, *terminal_state);
             if (!same(term)) return;
             if (terminal_state)
-                controller()->finished_by_record(change.id, *terminal_state, timeline_.now());
+                controller()->apply_recorded_terminal_state(change.id, *terminal_state,
+                                                            timeline_.now());
             else
                 controller()->set_mod_revision(
                     change.type, change.id,
@@ -823,7 +824,8 @@
             if (std::exchange(*settled, true)) return;
             auto* const controller = from->leader_state.lock().controller();
             if (!controller || controller->term() != call.fencing_token) return;
-            controller->called(call, outcome, heartbeat ? &*heartbeat : nullptr, timeline_.now());
+            controller->complete_direct_call(call, outcome, heartbeat ? &*heartbeat : nullptr,
+                                             timeline_.now());
             from->leader_state.lock().request_write();
             from->leader_state.lock().request_placement();
         });
--- a/tests/standin/simulated_cluster_scenario.cpp
+++ b/tests/standin/simulated_cluster_scenario.cpp
@@ -306,7 +306,7 @@
         if (!agent.dead && name != arguments.option("without"))
             list.push_back({name, name, agent.type, agent.zone, agent.spot,
                             core::MachineStage::running, Seconds{0}});
-    controller_->listed(list, at(), at());
+    controller_->apply_cloud_list(list, at(), at());
 }
 
 void SimulatedCluster::deliver_delayed_commands() {
@@ -354,8 +354,8 @@
                      const Arguments& a) { return c.controller_->knows(a.at(2)) == a.yes_at(3); }},
         {"verdict",
          [](Cluster& c, const Arguments& a) {
-             const auto verdict = c.controller_->check(c.specs_.at(a.at(2)));
-             return (verdict == core::Verdict::fits) == (a.at(3) == "fits");
+             const auto feasibility = c.controller_->check(c.specs_.at(a.at(2)));
+             return (feasibility == core::Feasibility::fits) == (a.at(3) == "fits");
          }},
         // Tasks on machines. on JOB/INDEX MACHINE, or `nowhere`.
         {"on", [](Cluster& c, const Arguments& a) { return c.task_is_on(a); }},
