--- a/src/core/model/heartbeat.hpp
+++ b/src/core/model/heartbeat.hpp
@@ -1,4 +1,4 @@
-/// What agents report, and what they are commanded.
+/// Messages between agents and the leader: heartbeats and task commands.
 #pragma once
 
 #include <cstdint>
@@ -10,22 +10,22 @@
 
 namespace bendspindle::core {
 
-/// Where a task stands on its machine, as its agent reports it.
+/// State of a task on its machine, as reported by the machine's agent.
 enum class TaskState : std::uint8_t { fetching, waiting, running, saving, exited };
-/// Why a task exited; `none` while it has not.
+/// Why a task exited; `none` for a task that has not exited.
 enum class ExitCause : std::uint8_t {
     none,
     done,
     stopped,
-    peers,
-    alone,
+    peers,  // another task of the gang ended without completing
+    alone,  // the rest of the gang did not arrive within `AgentTimings::gang_wait`
     error,
     no_room,
     busy,
     unknown
 };
 
-/// An entry of a machine's task list.
+/// An entry of the task list in a heartbeat.
 struct ReportedTask {
     std::string job;
     std::uint32_t index = 0;
@@ -37,8 +37,8 @@
     bool operator==(const ReportedTask&) const = default;
 };
 
-/// A message of an agent: what its machine is, and its whole task list. (`agent_epoch`, `sequence`)
-/// orders the messages of one machine.
+/// An agent's heartbeat: a description of its machine and the complete task list. The heartbeats of
+/// one machine are ordered by (`agent_epoch`, `sequence`).
 struct Heartbeat {
     std::string machine;
     std::string address;
@@ -47,13 +47,14 @@
     bool spot = false;
     std::uint64_t agent_epoch = 0;
     std::uint64_t sequence = 0;
-    std::uint64_t fencing_token = 0;  // the newest that the agent has seen
-    std::optional<Seconds> notice;    // spot: the cloud takes the machine after this
+    std::uint64_t fencing_token = 0;  // the highest that the agent has seen
+    std::optional<Seconds> notice;    // spot only: time until the cloud reclaims the machine
     std::vector<ReportedTask> tasks;
 };
 
-/// What an agent is to do with one attempt of a task. `acknowledge`: its exit is taken over, and
-/// may be forgotten. `grace`: the time that a stop leaves it to save.
+/// A command to an agent about one attempt of a task. `acknowledge` tells the agent that the leader
+/// has processed the task's exit, so that the agent may drop the task from its list. `grace` is the
+/// time that a stopped task has to save a checkpoint.
 struct TaskCommand {
     enum class Verb : std::uint8_t { start, stop, acknowledge };
     Verb verb = Verb::start;
--- a/src/core/model/job_spec.hpp
+++ b/src/core/model/job_spec.hpp
@@ -1,4 +1,4 @@
-/// A job as its user asked for it.
+/// The specification of a job, as submitted by its user.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 enum class Kind : std::uint8_t { array, gang, service };
 enum class Priority : std::uint8_t { low, normal, high, production };
 
-/// What a user asked for. Times are the owner's own estimates.
+/// A job specification. Run, checkpoint and save times are estimates by the job's owner.
 struct JobSpec {
     std::string id;
     std::string job_class;
@@ -25,17 +25,18 @@
     Resources need;
     std::string image;  // empty: none
     double image_gb = 0;
-    std::optional<std::vector<std::string>> types;  // machine types allowed; none: all
-    std::optional<std::string> zone;                // the only zone allowed
-    bool one_zone = false;                          // all tasks in the same zone
-    bool spread = false;                            // at most half of the tasks in one zone
-    bool spot = false;                              // spot machines allowed
-    Seconds estimate{0};                            // run time of a task
-    Seconds checkpoint{0};                          // between checkpoints; 0: it does not save
-    Seconds save_time{0};                           // for a checkpoint when it is stopped
-    std::optional<Seconds> deadline;                // after acceptance
+    std::optional<std::vector<std::string>> types;  // allowed machine types; nullopt: all
+    std::optional<std::string> zone;                // the only allowed zone; nullopt: all zones
+    bool one_zone = false;                          // all tasks must run in the same zone
+    bool spread = false;              // at most half of the tasks, rounded up, may run in one zone
+    bool spot = false;                // spot machines are allowed
+    Seconds estimate{0};              // estimated run time of a task
+    Seconds checkpoint{0};            // checkpoint interval; 0: tasks do not save checkpoints
+    Seconds save_time{0};             // time that a task needs to save a checkpoint when stopped
+    std::optional<Seconds> deadline;  // counted from acceptance
 
-    /// Whether its tasks save their progress; what is stopped otherwise has worked in vain.
+    /// Returns whether the job's tasks save checkpoints. A task that does not loses all of its work
+    /// when it is stopped.
     [[nodiscard]] bool saves() const { return checkpoint > Seconds{0}; }
 };
 
--- a/src/core/model/listed_machine.hpp
+++ b/src/core/model/listed_machine.hpp
@@ -1,4 +1,4 @@
-/// Machines as others know them.
+/// Machines as listed by the cloud or recorded in the key-value store.
 #pragma once
 
 #include <cstdint>
@@ -8,10 +8,10 @@
 
 namespace bendspindle::core {
 
-/// `failed`: it has stopped, and is deleted.
+/// State of a machine in the cloud. A `failed` machine has stopped and is to be deleted.
 enum class MachineStage : std::uint8_t { booting, running, failed };
 
-/// A machine as the cloud lists it, or as its record in the key-value store names it.
+/// An entry of the cloud's machine list, or a machine record of the key-value store.
 struct ListedMachine {
     std::string name;
     std::string address;
--- a/src/core/model/machine_type.hpp
+++ b/src/core/model/machine_type.hpp
@@ -1,4 +1,4 @@
-/// A machine type of the cloud's catalog.
+/// Machine types of the cloud's catalog.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace bendspindle::core {
 
-/// What such machines have, cost and take to boot, and the zones they are to be had in.
+/// A machine type: its resources, prices and boot time, and the zones in which it is offered.
 struct MachineType {
     std::string name;
     Resources size;
--- a/src/core/model/resources.hpp
+++ b/src/core/model/resources.hpp
@@ -1,9 +1,9 @@
-/// Amounts of what machines have and tasks take.
+/// Amounts of CPU, GPU and memory: what machines provide and tasks require.
 #pragma once
 
 namespace bendspindle::core {
 
-/// Cores, devices and memory.
+/// CPU cores, GPUs and memory in GB.
 struct Resources {
     double cpus = 0;
     double gpus = 0;
@@ -21,11 +21,12 @@
         memory_gb -= o.memory_gb;
         return *this;
     }
-    /// Whether `need` fits. Amounts are decimal numbers; sums may be off in the last digits.
+    /// Returns whether `need` fits. A small tolerance absorbs the rounding errors of sums of
+    /// floating-point amounts.
     [[nodiscard]] bool holds(const Resources& need) const {
-        constexpr double slack = 1e-6;
-        return need.cpus <= cpus + slack && need.gpus <= gpus + slack &&
-               need.memory_gb <= memory_gb + slack;
+        constexpr double tolerance = 1e-6;
+        return need.cpus <= cpus + tolerance && need.gpus <= gpus + tolerance &&
+               need.memory_gb <= memory_gb + tolerance;
     }
 };
 
--- a/src/core/model/scale_out_request.hpp
+++ b/src/core/model/scale_out_request.hpp
@@ -1,4 +1,4 @@
-/// A request to the cloud for more machines.
+/// Scale-out requests to the cloud.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,8 @@
 
 namespace bendspindle::core {
 
-/// `count` machines of one pool. `request` makes it idempotent: it is unique among all leaders.
+/// A request for `count` machines of one pool. `request` is an idempotency key, unique across all
+/// leaders.
 struct ScaleOutRequest {
     std::string request;
     std::string type;
--- a/src/core/model/service_level_objectives.hpp
+++ b/src/core/model/service_level_objectives.hpp
@@ -1,4 +1,4 @@
-/// What users expect, as far as planning uses it.
+/// Service level objectives that scheduling and autoscaling take into account.
 #pragma once
 
 #include <map>
@@ -9,10 +9,10 @@
 
 namespace bendspindle::core {
 
-/// The times within which work is to start.
+/// Target times from acceptance to start.
 struct ServiceLevelObjectives {
-    std::map<std::string, Seconds> start_within;  // by class
-    std::optional<Seconds> guaranteed_start;      // of work within a team's guarantee
+    std::map<std::string, Seconds> start_within;  // by job class
+    std::optional<Seconds> guaranteed_start;      // for jobs within their team's guarantee
 };
 
 }  // namespace bendspindle::core
--- a/src/core/model/team.hpp
+++ b/src/core/model/team.hpp
@@ -1,4 +1,4 @@
-/// A team of the platform settings, with its quota.
+/// Teams and their quotas, from the platform settings.
 #pragma once
 
 #include <string>
@@ -7,11 +7,12 @@
 
 namespace bendspindle::core {
 
-/// Its jobs together never use more than `limit`; what they ask for within `guaranteed` goes first.
+/// A team and its quota. The team's jobs together never use more than `limit`; jobs whose requests
+/// stay within `guaranteed` are scheduled before jobs beyond it.
 struct Team {
     std::string name;
     Resources guaranteed;
-    Resources limit;  // 0 in a field: no limit on it
+    Resources limit;  // 0 in a field: that resource is not limited
 };
 
 }  // namespace bendspindle::core
--- a/src/core/model/types.hpp
+++ b/src/core/model/types.hpp
@@ -1,5 +1,5 @@
-/// All plain data of the model, for directories beyond the core that handle most of it (wire,
-/// state, agents, stand-ins). The core itself includes what it uses.
+/// Includes all headers of the model, for directories outside the core that use most of them (wire,
+/// state, agents, test doubles). Files of the core include only the headers that they use.
 #pragma once
 
 #include "core/model/agent_timings.hpp"
