--- a/src/core/scheduling/placement_cycle.cpp
+++ b/src/core/scheduling/placement_cycle.cpp
@@ -153,7 +153,7 @@
         const auto tasks = pipeline.eligible.front().tasks;
         asking.push_back({pipeline.rank, quota.share(*snapshot.jobs[p], tasks)});
     }
-    const auto factors = fair_share::stretch(asking, used);
+    const auto factors = fair_share::compute_stretch_factors(asking, used);
     for (std::size_t p = 0; p < factors.size(); ++p) snapshot.pipelines[p].stretch = factors[p];
 }
 
--- a/src/core/scheduling/quota_accounting.cpp
+++ b/src/core/scheduling/quota_accounting.cpp
@@ -63,7 +63,7 @@
         job_share.waiting = quota.share(*job, job->idle_count());
         if (job->starvation.waiting_since)
             job_share.waited = between(*job->starvation.waiting_since, now);
-        job_share.kept = job->starvation.started_under_minimum_share;
+        job_share.started_under_minimum_share = job->starvation.started_under_minimum_share;
         job_shares.push_back(job_share);
         serials.push_back(serial);
     }
@@ -75,7 +75,7 @@
     for (std::size_t i = 0; i < serials.size(); ++i) {
         if (shares.class_protected[i]) quota.class_protected_.insert(serials[i]);
         if (shares.team_protected[i]) quota.team_protected_.insert(serials[i]);
-        if (shares.jobs[i]) {
+        if (shares.under_minimum_share[i]) {
             quota.under_minimum_share_.emplace(serials[i], rank);
             if (job_shares[i].waiting > 0) rank = std::min(rank + 1, minimum_share_to);
         }
--- a/src/fair_share/makespan_stretch.hpp
+++ b/src/fair_share/makespan_stretch.hpp
@@ -1,11 +1,12 @@
-/// How long pipelines take when they have to share what there is. A pure function.
+/// Estimates how much longer pipelines take when they share the available machines. A pure
+/// function.
 ///
-/// DSMF orders pipelines by their remaining makespan, and takes all tasks of a job to run at once.
-/// Where more is asked for than there is, they do not: an array of thousands of short tasks then
-/// counted as short, held everything for minutes, and most jobs of its class came late. Reckoned on
-/// an even part of what is left to its rank, a pipeline lasts as many times longer as its tasks
-/// exceed that part. Where everything fits, nothing is stretched and the order is DSMF's own.
-/// docs/fair-share.md, "Order under overload".
+/// DSMF orders pipelines by remaining makespan and assumes that all tasks of a job run at once.
+/// When demand exceeds capacity, that assumption fails: an array of thousands of short tasks was
+/// ranked as short, occupied all machines for minutes, and made most jobs of its class late. A
+/// pipeline's makespan is therefore multiplied by the ratio of its share to an equal share of the
+/// capacity that is left for its rank. When everything fits, all factors are 1 and the order is
+/// that of plain DSMF. See docs/fair-share.md, "Order under overload".
 #pragma once
 
 #include <map>
@@ -13,16 +14,15 @@
 
 namespace bendspindle::fair_share {
 
-/// What a pipeline asks for. Shares are parts of the machines that a pipeline may use, by the
-/// resource of which it asks for
-// the most: 1 is all of them.
+/// The demand of a pipeline. A share is the fraction of the machines allowed for the pipeline,
+/// measured by the resource of which the pipeline needs the largest fraction; 1 is all of them.
 struct PipelineDemand {
-    int rank = 0;      // lower goes first
-    double share = 0;  // that its waiting tasks would take at once
+    int rank = 0;      // lower ranks are scheduled first
+    double share = 0;  // share that its waiting tasks would use if all of them ran at once
 };
 
-/// `used`: what each rank has in use. Returns a factor of at least 1 for each pipeline.
-[[nodiscard]] std::vector<double> stretch(const std::vector<PipelineDemand>& pipelines,
-                                          const std::map<int, double>& used);
+/// Returns one factor of at least 1 for each pipeline. `used` is the share in use by each rank.
+[[nodiscard]] std::vector<double> compute_stretch_factors(
+    const std::vector<PipelineDemand>& pipelines, const std::map<int, double>& used);
 
 }  // namespace bendspindle::fair_share
--- a/src/fair_share/minimum_share.cpp
+++ b/src/fair_share/minimum_share.cpp
@@ -7,80 +7,86 @@
 
 namespace {
 
-// A class or a team.
-struct Party {
+// A class or team with its accounts.
+struct ShareGroup {
     double weight = 1;
     double minimum = 0;
     double used = 0;
-    double taken = 0;  // of the minimum, by jobs that were marked for it
+    double filled = 0;  // share counted towards the minimum: running jobs and selected ones
     bool starving = false;
 };
-using Parties = std::map<std::string, Party, std::less<>>;
+using ShareGroups = std::map<std::string, ShareGroup, std::less<>>;
 
-// The minimums of all classes, or of all teams.
-class PartyShares {
+// The minimums of all classes or of all teams.
+class MinimumShareAllocator {
   public:
-    PartyShares(const std::vector<JobShare>& jobs, std::string_view JobShare::*name,
-                const std::map<std::string, double>& weights, const FairShareSettings& settings)
-        : jobs_(jobs), name_(name), patience_(settings.starvation_timeout) {
-        double sum = 0;
+    MinimumShareAllocator(const std::vector<JobShare>& jobs, std::string_view JobShare::*name,
+                          const std::map<std::string, double>& weights,
+                          const FairShareSettings& settings)
+        : jobs_(jobs), group_name_(name), starvation_timeout_(settings.starvation_timeout) {
+        double total_weight = 0;
         for (const auto& job : jobs) {
-            auto it = parties_.find(job.*name);
-            if (it == parties_.end()) {
-                it = parties_.emplace(job.*name, Party{}).first;
+            auto it = groups_.find(job.*name);
+            if (it == groups_.end()) {
+                it = groups_.emplace(job.*name, ShareGroup{}).first;
                 const auto weight = weights.find(it->first);
                 if (weight != weights.end()) it->second.weight = weight->second;
-                sum += it->second.weight;
+                total_weight += it->second.weight;
             }
             it->second.used += job.used;
-            it->second.starving |= waits(job);
+            it->second.starving |= is_starving(job);
         }
-        for (auto& [key, party] : parties_)
-            party.minimum = sum > 0 ? settings.total_share * party.weight / sum : 0;
+        for (auto& [key, group] : groups_)
+            group.minimum =
+                total_weight > 0 ? settings.total_share * group.weight / total_weight : 0;
     }
 
-    // What runs counts first, so that a minimum that is filled by running work asks for no more. A
-    // job is never cut: the last one may go beyond the minimum by its own size.
-    void mark(std::vector<bool>& marked, std::vector<bool>& is_protected) {
-        // One alone has nobody to be shut out by.
-        if (parties_.size() < 2) return;
+    // Selects jobs until each minimum is filled. Running work is counted first, so that no waiting
+    // job is selected for a minimum that running work already fills. Jobs are selected whole: the
+    // last one may exceed the minimum by its own share.
+    void select_jobs(std::vector<bool>& selected, std::vector<bool>& is_protected) {
+        // A single class or team has no competitor that could starve it.
+        if (groups_.size() < 2) return;
         for (std::size_t i = 0; i < jobs_.size(); ++i)
-            if (jobs_[i].kept) take(i, jobs_[i].used + jobs_[i].waiting, marked);
+            if (jobs_[i].started_under_minimum_share)
+                select_if_unfilled(i, jobs_[i].used + jobs_[i].waiting, selected);
         for (std::size_t i = 0; i < jobs_.size(); ++i) {
-            if (jobs_[i].kept || jobs_[i].used <= 0) continue;
-            auto& party = party_of(i);
-            // Guard against starving by preemption: without protection the urgent work that shuts a
-            // class out preempted what that class ran, and the class never filled its minimum.
-            is_protected[i] = party.starving && party.taken < party.minimum;
-            party.taken += jobs_[i].used;
+            if (jobs_[i].started_under_minimum_share || jobs_[i].used <= 0) continue;
+            auto& group = group_of(i);
+            // Prevents starvation by preemption: without protection, the urgent work that starved
+            // a class also preempted the tasks that the class ran, so that its minimum was never
+            // filled.
+            is_protected[i] = group.starving && group.filled < group.minimum;
+            group.filled += jobs_[i].used;
         }
         for (std::size_t i = 0; i < jobs_.size(); ++i)
-            if (waits(jobs_[i])) take(i, jobs_[i].waiting, marked);
+            if (is_starving(jobs_[i])) select_if_unfilled(i, jobs_[i].waiting, selected);
     }
 
-    std::map<std::string, double> behind() const {
+    std::map<std::string, double> deficits() const {
         std::map<std::string, double> out;
-        for (const auto& [key, party] : parties_)
-            if (party.starving && party.used < party.minimum) out[key] = party.minimum - party.used;
+        for (const auto& [key, group] : groups_)
+            if (group.starving && group.used < group.minimum) out[key] = group.minimum - group.used;
         return out;
     }
 
   private:
-    bool waits(const JobShare& job) const {
-        return !job.kept && job.waiting > 0 && job.waited >= patience_;
+    bool is_starving(const JobShare& job) const {
+        return !job.started_under_minimum_share && job.waiting > 0 &&
+               job.waited >= starvation_timeout_;
     }
-    Party& party_of(std::size_t job) { return parties_.find(jobs_[job].*name_)->second; }
-    void take(std::size_t job, double share, std::vector<bool>& marked) {
-        auto& party = party_of(job);
-        if (party.taken >= party.minimum) return;
-        party.taken += share;
-        marked[job] = true;
+    ShareGroup& group_of(std::size_t job) { return groups_.find(jobs_[job].*group_name_)->second; }
+    void select_if_unfilled(std::size_t job, double share, std::vector<bool>& selected) {
+        auto& group = group_of(job);
+        if (group.filled >= group.minimum) return;
+        group.filled += share;
+        selected[job] = true;
     }
 
     const std::vector<JobShare>& jobs_;
-    std::string_view JobShare::*name_;
-    std::chrono::duration<double> patience_;
-    Parties parties_;
+    std::string_view JobShare::*group_name_;
+    std::chrono::duration<double> starvation_timeout_;
+    ShareGroups groups_;
 };
 
 }  // namespace
@@ -88,15 +94,16 @@
 MinimumShareResult assign_minimum_shares(const std::vector<JobShare>& oldest_first,
                                          const FairShareSettings& settings) {
     MinimumShareResult out;
-    out.jobs.assign(oldest_first.size(), false);
-    out.class_protected = out.team_protected = out.jobs;
+    out.under_minimum_share.assign(oldest_first.size(), false);
+    out.class_protected = out.team_protected = out.under_minimum_share;
     if (settings.total_share <= 0) return out;
-    PartyShares classes(oldest_first, &JobShare::job_class, settings.class_weights, settings);
-    PartyShares teams(oldest_first, &JobShare::team, settings.team_weights, settings);
-    classes.mark(out.jobs, out.class_protected);
-    teams.mark(out.jobs, out.team_protected);
-    out.behind_classes = classes.behind();
-    out.behind_teams = teams.behind();
+    MinimumShareAllocator classes(oldest_first, &JobShare::job_class, settings.class_weights,
+                                  settings);
+    MinimumShareAllocator teams(oldest_first, &JobShare::team, settings.team_weights, settings);
+    classes.select_jobs(out.under_minimum_share, out.class_protected);
+    teams.select_jobs(out.under_minimum_share, out.team_protected);
+    out.class_deficits = classes.deficits();
+    out.team_deficits = teams.deficits();
     return out;
 }
 
--- a/src/fair_share/minimum_share.hpp
+++ b/src/fair_share/minimum_share.hpp
@@ -1,14 +1,15 @@
-/// Who must be served before the usual order, so that no class and no team starves. A pure
-/// function; called by quota accounting for each snapshot.
+/// Fair-share minimums: selects the jobs that are scheduled before the usual order, so that no
+/// class and no team starves. A pure function, called by quota accounting for each snapshot.
 ///
-/// Priorities and guarantees order the work; where more is asked for than there is, an order alone
-/// shuts out whoever comes last, for as long as the others keep coming. A fair-share minimum bounds
-/// that: each class and each team that has work has a part of the machines that its work may use.
-/// Once the oldest of its waiting jobs has waited for the starvation timeout, those that have go
-/// first, oldest first, until the minimum is filled; what was started within a minimum is not
-/// preempted, nor, while it starves, what a class or team runs within its minimum for other classes
-/// or teams (preemption protection). Below that wait, and beyond the minimum, the order stays as it
-/// is. docs/fair-share.md has the bound that follows, and its proof.
+/// Jobs are ordered by priorities and guarantees. When demand exceeds capacity, that order alone
+/// starves whoever is last for as long as higher-ranked work keeps arriving. A fair-share minimum
+/// bounds the wait: each class and each team that has work is entitled to a part of the machines
+/// that its work may use. A class or team starves once one of its waiting jobs has waited for the
+/// starvation timeout. Its jobs that have waited that long are then scheduled first, oldest first,
+/// until the minimum is filled. Jobs started under a minimum are not preempted. The work that a
+/// starving class or team already runs within its minimum is not preempted for other classes or
+/// teams (preemption protection). Before the timeout, and beyond the minimum, the usual order
+/// applies. docs/fair-share.md states and proves the resulting bound.
 #pragma once
 
 #include <chrono>
@@ -20,39 +21,40 @@
 
 namespace bendspindle::fair_share {
 
-/// The operators' choice.
+/// Fair-share parameters, from the operator settings.
 struct FairShareSettings {
-    // Part of the machines that all minimums together may take; 0: no minimums.
+    // Part of the machines that all minimums together may take; 0 disables minimums.
     double total_share = 0.5;
-    std::chrono::duration<double> starvation_timeout{60};  // starvation timeout
-    // Weights of those that are not named are 1.
+    std::chrono::duration<double> starvation_timeout{60};
+    // Weights by name; the default weight is 1.
     std::map<std::string, double> class_weights;
     std::map<std::string, double> team_weights;
 };
 
-/// A job with work on machines or waiting. Shares are parts of the machines that it may use, as in
-/// fair_share/makespan_stretch.
+/// A job with running or waiting tasks. A share is the fraction of the machines allowed for the
+/// job, as in fair_share/makespan_stretch.
 struct JobShare {
     std::string_view job_class;
     std::string_view team;
     double used = 0;
-    double waiting = 0;                       // what its waiting tasks would take
-    std::chrono::duration<double> waited{0};  // without any of it being started
-    bool kept = false;                        // was started within a minimum
+    double waiting = 0;                        // share that its waiting tasks would use
+    std::chrono::duration<double> waited{0};   // time without the start of any of its tasks
+    bool started_under_minimum_share = false;  // any of its tasks was
 };
 
-/// By place in what was given.
+/// The selected jobs. Vectors have one entry for each job, in the order of the input.
 struct MinimumShareResult {
-    std::vector<bool> jobs;  // go first, and are not preempted
-    // Run within the minimum of a class that starves, or of a team: not preempted for other ones.
+    std::vector<bool> under_minimum_share;  // scheduled first and not preempted
+    // Running within the minimum of a starving class or team; not preempted for jobs of others.
     std::vector<bool> class_protected;
     std::vector<bool> team_protected;
-    // For logs: who was behind its minimum, and by how much.
-    std::map<std::string, double> behind_classes;
-    std::map<std::string, double> behind_teams;
+    // For logs: the share that each starving class or team lacks to its minimum.
+    std::map<std::string, double> class_deficits;
+    std::map<std::string, double> team_deficits;
 };
 
-/// `oldest_first`: in the order in which their minimums are to be filled.
+/// Selects the jobs that fill the minimums of starving classes and teams. Minimums are filled in
+/// the order of `oldest_first`.
 [[nodiscard]] MinimumShareResult assign_minimum_shares(const std::vector<JobShare>& oldest_first,
                                                        const FairShareSettings& settings);
 
