--- a/src/core/scheduling/capacity.hpp
+++ b/src/core/scheduling/capacity.hpp
@@ -1,6 +1,7 @@
-/// What the machines there are add up to, and which part of that work takes: the common measure of
-/// fair-share minimums and of sharing, whatever resource the work asks for the most. Made anew for
-/// each `QuotaSnapshot`; holds a reference to the catalog.
+/// The total resources of the cluster, and the share of them that tasks use. Shares are the common
+/// measure of fair-share minimums and makespan stretch: the share of a set of tasks is that of the
+/// resource of which they need the largest fraction. Computed for each `QuotaSnapshot`; holds a
+/// reference to the catalog.
 #pragma once
 
 #include <map>
@@ -14,16 +15,16 @@
 
 namespace bendspindle::core {
 
-/// Machines that have reported and are not draining, summed by group.
+/// The resources of all machines that have reported and are not draining, summed by group.
 class Capacity {
   public:
     Capacity(const MachineCatalog& catalog, const MachineInventory& inventory);
-    /// Of the machines that such work may use, the part that this many tasks take; 1 is all. 0
-    /// where there is no such machine.
+    /// Returns the share that `tasks` tasks of the job use of the machines allowed for the job: 1
+    /// is all of them. Returns 0 if there is no such machine.
     [[nodiscard]] double share(const JobSpec& spec, std::size_t tasks) const;
 
   private:
-    // Machines of one type, zone and kind.
+    // Machines of one type and zone, either all spot or all on-demand.
     struct Group {
         std::size_t type;
         std::string zone;
--- a/src/core/scheduling/placement_cycle.cpp
+++ b/src/core/scheduling/placement_cycle.cpp
@@ -10,17 +10,20 @@
 
 namespace {
 
-// A job that has waited this long gets its team's guarantee before urgent work of borrowers.
-constexpr Seconds starved_after{300};
-// A machine on which it has failed may have been mended, or be the only one.
-constexpr Seconds excluded_for{60};
+// A job within its team's guarantee that has waited this long takes precedence over jobs of higher
+// priority that run beyond the guarantees of their teams.
+constexpr Seconds starvation_threshold{300};
+// How long a job avoids machines on which it has failed. The machine may have been repaired since,
+// or be the only one that the job may use.
+constexpr Seconds failed_machine_exclusion_time{60};
 
 }  // namespace
 
-void PlacementCycle::withdraw_bound(TimePoint now) {
+void PlacementCycle::withdraw_uncommanded_binds(TimePoint now) {
     for (auto& [serial, job] : job_table_.all()) {
         const bool gang = job->spec.kind == Kind::gang;
-        // A gang that has begun to start keeps its places: its tasks share one attempt.
+        // A gang of which a start was commanded keeps its binds, because its tasks share one
+        // attempt.
         if (gang &&
             std::any_of(job->assignments.begin(), job->assignments.end(), [](const auto& entry) {
                 return entry.second.stage != Assignment::Stage::bound;
@@ -30,9 +33,9 @@
         for (const auto& [index, assignment] : job->assignments) {
             if (assignment.stage != Assignment::Stage::bound) continue;
             const auto* machine = inventory_.find(assignment.machine);
-            const bool held =
+            const bool is_reserved =
                 assignment.reserved_until > now && machine && inventory_.usable(*machine, now);
-            if (!held) withdrawn.push_back(index);
+            if (!is_reserved) withdrawn.push_back(index);
         }
         if (gang && !withdrawn.empty()) {
             withdrawn.clear();
@@ -42,9 +45,10 @@
     }
 }
 
-// Guard against a gang that waits for tasks which nobody will start: its controller ended between
-// the starts, and what was found of it held its places until it gave itself up. Once no machine can
-// hold the rest it is begun anew as a whole.
+// Restarts gangs that a failover left partially started. When a controller ended between the starts
+// of a gang's tasks, the tasks already started kept their machines and waited for the others, which
+// no controller would start, until they timed out. Once no unfenced machine may still run the
+// missing tasks, the whole gang is restarted.
 void PlacementCycle::break_partial_gangs() {
     for (const auto& [serial, job] : job_table_.all()) {
         if (job->spec.kind != Kind::gang || job->is_terminal() || job->accepted_this_term) continue;
@@ -96,23 +100,23 @@
     }
 }
 
-// Guard against preemption in turn: within its fair-share minimum, work without need of a GPU went
-// before urgent GPU work, onto GPU machines, where that preempted it again. A minimum is filled
-// where it protects.
-dsmf::EligibleJob PlacementCycle::eligible(const Job& job, std::uint32_t tasks,
-                                           bool under_minimum_share, const Snapshot& snapshot,
-                                           TimePoint now) const {
+// Limits jobs under a fair-share minimum to machines that suit them, which are the machines on
+// which the minimum protects them. Without this limit, such jobs without GPU need were bound to GPU
+// machines before urgent GPU jobs, which preempted them again.
+dsmf::EligibleJob PlacementCycle::make_eligible_job(const Job& job, std::uint32_t tasks,
+                                                    bool under_minimum_share,
+                                                    const Snapshot& snapshot, TimePoint now) const {
     dsmf::EligibleJob out;
     out.job = snapshot.jobs.size();
     out.tasks = tasks;
     out.gang = job.spec.kind == Kind::gang;
     out.one_zone = job.spec.one_zone;
     out.spread = job.spec.spread;
-    out.spread_of = job.spec.tasks;
-    out.in_zone.assign(config_.zones.size(), 0);
+    out.total_tasks = job.spec.tasks;
+    out.tasks_in_zone.assign(config_.zones.size(), 0);
     for (const auto& [index, assignment] : job.assignments) {
         const auto zone = config_.zone_index(inventory_.at(assignment.machine).identity.zone);
-        if (zone < out.in_zone.size()) ++out.in_zone[zone];
+        if (zone < out.tasks_in_zone.size()) ++out.tasks_in_zone[zone];
     }
     out.need = job.spec.need;
     out.image = job.image;
@@ -123,14 +127,17 @@
             for (const bool spot : {false, true})
                 out.groups.push_back(allowed(job.spec, type.name, zone, spot) &&
                                      (!under_minimum_share || catalog_.suits(job.spec, type)));
-    if (job.failures.tries_in_a_row > 0 && between(job.failures.last_at, now) < excluded_for)
-        out.barred = excluded(job, snapshot);
+    if (job.failures.tries_in_a_row > 0 &&
+        between(job.failures.last_at, now) < failed_machine_exclusion_time)
+        out.excluded_machines = find_excluded_machines(job, snapshot);
     return out;
 }
 
-// The next try goes elsewhere. Guard against no next try: a gang that failed on many machines had
-// too few left, and since there were machines enough none was scaled out for it.
-std::vector<std::size_t> PlacementCycle::excluded(const Job& job, const Snapshot& snapshot) const {
+// The next attempt is made on other machines. No machine is excluded if that would exclude more
+// than half of the allowed ones: otherwise a gang that had failed on many machines had too few left
+// for another attempt, and since there were enough machines, none was scaled out for it.
+std::vector<std::size_t> PlacementCycle::find_excluded_machines(const Job& job,
+                                                                const Snapshot& snapshot) const {
     std::vector<std::size_t> out;
     std::size_t allowed_machines = 0;
     for (std::size_t m = 0; m < snapshot.machines.size(); ++m) {
@@ -147,13 +154,13 @@
     for (const auto& [serial, job] : job_table_.all())
         if (!job->is_terminal() && !job->assignments.empty())
             used[quota.rank(*job)] += quota.share(*job, job->assignments.size());
-    std::vector<fair_share::PipelineDemand> asking;
+    std::vector<fair_share::PipelineDemand> demands;
     for (std::size_t p = 0; p < snapshot.pipelines.size(); ++p) {
         const auto& pipeline = snapshot.pipelines[p];
         const auto tasks = pipeline.eligible.front().tasks;
-        asking.push_back({pipeline.rank, quota.share(*snapshot.jobs[p], tasks)});
+        demands.push_back({pipeline.rank, quota.share(*snapshot.jobs[p], tasks)});
     }
-    const auto factors = fair_share::compute_stretch_factors(asking, used);
+    const auto factors = fair_share::compute_stretch_factors(demands, used);
     for (std::size_t p = 0; p < factors.size(); ++p) snapshot.pipelines[p].stretch = factors[p];
 }
 
@@ -167,31 +174,31 @@
         const auto idle = job->idle_count();
         if (idle == 0 || inventory_.may_have_unfenced_tasks(*job)) continue;
         if (!job->starvation.waiting_since) job->starvation.waiting_since = now;
-        if (between(*job->starvation.waiting_since, now) > starved_after)
+        if (between(*job->starvation.waiting_since, now) > starvation_threshold)
             job->starvation.starved = true;
-        const auto tried = job->tasks_tried_at_once();
-        if (!gang && job->progress.placed >= tried) continue;
-        const auto tasks =
-            std::min(quota.remaining_tasks(*job), gang ? idle : tried - job->progress.placed);
+        const auto max_concurrent = job->tasks_tried_at_once();
+        if (!gang && job->progress.placed >= max_concurrent) continue;
+        const auto tasks = std::min(quota.remaining_tasks(*job),
+                                    gang ? idle : max_concurrent - job->progress.placed);
         if (tasks == 0 || (gang && tasks < idle)) continue;
         dsmf::Pipeline pipeline;
         pipeline.rank = quota.rank(*job);
         const bool under_minimum_share = quota.under_minimum_share(*job);
-        pipeline.reserves = under_minimum_share;
+        pipeline.reserves_machines = under_minimum_share;
         pipeline.eligible.push_back(
-            eligible(*job, std::min(idle, tasks), under_minimum_share, snapshot, now));
+            make_eligible_job(*job, std::min(idle, tasks), under_minimum_share, snapshot, now));
         snapshot.pipelines.push_back(std::move(pipeline));
         snapshot.jobs.push_back(job.get());
     }
 }
 
-void PlacementCycle::bind(const dsmf::Result& result, const Snapshot& snapshot,
-                          QuotaSnapshot& quota, TimePoint now) {
+void PlacementCycle::apply_binds(const dsmf::Result& result, const Snapshot& snapshot,
+                                 QuotaSnapshot& quota, TimePoint now) {
     std::map<const Job*, std::uint64_t> gang_attempts;
     for (const auto& decision : result.binds) {
         auto& job = *snapshot.jobs[decision.job];
         Assignment assignment;
-        // Limits are counted again bind by bind: pipelines of one team share what is left.
+        // The quota is checked for each bind because all pipelines of a team share its limit.
         if (job.spec.kind == Kind::gang) {
             const auto [it, first] = gang_attempts.try_emplace(&job, 0);
             if (first && quota.remaining_tasks(job) >= job.spec.tasks)
@@ -207,12 +214,12 @@
         assignment.rpm = decision.rpm;
         job.starvation.started_under_minimum_share |= quota.under_minimum_share(job);
         job_table_.bind(job, *snapshot.machines[decision.machine], assignment, now);
-        quota.take(job);
+        quota.add_bound_task(job);
     }
 }
 
 void PlacementCycle::cycle(TimePoint now) {
-    withdraw_bound(now);
+    withdraw_uncommanded_binds(now);
     break_partial_gangs();
     auto quota = quota_accounting_.snapshot(now);
     Snapshot snapshot;
@@ -221,7 +228,7 @@
     if (snapshot.pipelines.empty()) return;
     stretch_makespans(snapshot, quota);
     const auto result = dsmf::place(snapshot.pipelines, snapshot.views, config_.cycle);
-    bind(result, snapshot, quota, now);
+    apply_binds(result, snapshot, quota, now);
     std::vector<Job*> waiting;
     for (const auto p : result.order)
         if (snapshot.jobs[p]->idle_count() > 0) waiting.push_back(snapshot.jobs[p]);
--- a/src/core/scheduling/placement_cycle.hpp
+++ b/src/core/scheduling/placement_cycle.hpp
@@ -1,9 +1,9 @@
-/// The placement cycle: a snapshot for DSMF, its decisions taken over, then preemption for what is
-/// left waiting. Called by `Controller`. Decides where tasks go on the ordinary path, and nothing
-/// else does; it binds only, and starts are `CommandPlanner`'s.
+/// The placement cycle: takes a snapshot, runs DSMF on it, applies the resulting binds and preempts
+/// for the jobs that still wait. Called by `Controller`. In normal operation, only the placement
+/// cycle decides where tasks run. It binds tasks; `CommandPlanner` starts them.
 ///
-/// What is bound and not commanded is withdrawn and decided anew in each cycle, but for
-/// reservations made by preemption and gangs that have begun to start.
+/// Each cycle withdraws the binds for which no start was commanded and decides them again, except
+/// reservations made by preemption and gangs of which a start was commanded.
 #pragma once
 
 #include <vector>
@@ -20,7 +20,7 @@
 
 namespace bendspindle::core {
 
-/// What it was given must outlive it.
+/// Places waiting tasks on machines. The constructor's arguments must outlive the object.
 class PlacementCycle {
   public:
     PlacementCycle(const Config& config, const MachineCatalog& catalog, MachineInventory& inventory,
@@ -34,30 +34,32 @@
           quota_accounting_(quota_accounting),
           preemption_(preemption) {}
 
-    /// One cycle. The catalog must be known.
+    /// Runs one cycle. Requires that the catalog is known.
     void cycle(TimePoint now);
 
   private:
-    // What DSMF sees, and what its indices mean.
+    // The input of DSMF, and the machines and jobs that its indices refer to.
     struct Snapshot {
         std::vector<Machine*> machines;
         std::vector<dsmf::Machine> views;
         std::vector<Job*> jobs;
         std::vector<dsmf::Pipeline> pipelines;
     };
-    void withdraw_bound(TimePoint now);
+    void withdraw_uncommanded_binds(TimePoint now);
     void break_partial_gangs();
     dsmf::Machine view_of(const Machine& machine, TimePoint now) const;
     void snapshot_machines(Snapshot& snapshot, TimePoint now);
     void snapshot_jobs(Snapshot& snapshot, const QuotaSnapshot& quota, TimePoint now) const;
-    dsmf::EligibleJob eligible(const Job& job, std::uint32_t tasks, bool under_minimum_share,
-                               const Snapshot& snapshot, TimePoint now) const;
-    // Machines on which it has failed.
-    std::vector<std::size_t> excluded(const Job& job, const Snapshot& snapshot) const;
-    // Stretches makespans where more is asked for than there is.
+    dsmf::EligibleJob make_eligible_job(const Job& job, std::uint32_t tasks,
+                                        bool under_minimum_share, const Snapshot& snapshot,
+                                        TimePoint now) const;
+    // Returns the indices of the machines on which the job has failed, or none if those are most of
+    // the machines allowed for it.
+    std::vector<std::size_t> find_excluded_machines(const Job& job, const Snapshot& snapshot) const;
+    // Sets the stretch factors of all pipelines, for demand beyond capacity.
     void stretch_makespans(Snapshot& snapshot, const QuotaSnapshot& quota) const;
-    void bind(const dsmf::Result& result, const Snapshot& snapshot, QuotaSnapshot& quota,
-              TimePoint now);
+    void apply_binds(const dsmf::Result& result, const Snapshot& snapshot, QuotaSnapshot& quota,
+                     TimePoint now);
 
     const Config& config_;
     const MachineCatalog& catalog_;
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -6,16 +6,18 @@
 
 namespace {
 
-// An array may preempt for this many of its tasks in one cycle; the next cycle sees the effect.
-constexpr std::uint32_t array_preempts_a_cycle = 8;
-// A reservation made by preemption outlives the save time of its victims by this.
-constexpr Seconds hold_beyond_save{8};
-// A job whose tries have failed so often in a row takes what is free.
-constexpr std::uint32_t most_failed_tries = 2;
-// What a step of priority weighs, in seconds of lost work.
-constexpr double priority_step_s = 10;
+// An array may preempt for this many of its tasks in one cycle; the next cycle takes the effect
+// into account.
+constexpr std::uint32_t max_array_preemptions_per_cycle = 8;
+// A reservation made by preemption lasts for the longest save time of its victims, one heartbeat
+// interval and this margin.
+constexpr Seconds reservation_margin{8};
+// A job with this many consecutive failed attempts may use free resources but does not preempt.
+constexpr std::uint32_t max_consecutive_failures = 2;
+// Cost of stopping a task for each step of its priority, in seconds of lost work.
+constexpr double priority_step_cost_s = 10;
 
-bool may_be_stopped(const Assignment& assignment) {
+bool is_stoppable(const Assignment& assignment) {
     return assignment.stage != Assignment::Stage::bound && !assignment.stopping;
 }
 
@@ -31,9 +33,9 @@
             job.spec.job_class};
 }
 
-// Guard against urgent work kept out: a fair-share minimum protects on machines that suit the work.
-// Arrays without need of a GPU held GPU machines within their minimum, and urgent GPU work waited
-// for minutes.
+// Limits the protection by fair-share minimums to machines that suit the job. Without this limit,
+// arrays without GPU need occupied GPU machines under their minimum, and urgent GPU jobs waited for
+// minutes.
 PreemptionEligibility eligibility_on(const MachineCatalog& catalog, const Machine& machine,
                                      const Job& job, const QuotaSnapshot& quota) {
     auto eligibility = eligibility_of(job, quota);
@@ -45,16 +47,17 @@
 
 }  // namespace
 
-bool PreemptionEligibility::may_stop(const PreemptionEligibility& other) const {
-    // Guard against starving by preemption: what little a class gets under a lasting flood of
-    // higher priority was stopped again before it was done.
+bool PreemptionEligibility::may_preempt(const PreemptionEligibility& other) const {
+    // Prevents starvation by preemption: under a sustained load of higher priority, the few tasks
+    // that a class could start were preempted before they completed.
     if (other.under_minimum_share) return false;
     if (other.class_protected && other.job_class != job_class) return false;
     if (other.team_protected && other.team != team) return false;
-    // Guard against two jobs that preempt each other in turn: between guaranteed work and a
-    // borrower of higher priority, the borrower goes first until the guaranteed job has starved,
-    // and never again after that. (Urgent work of a borrower waited half a minute and longer while
-    // all machines ran guaranteed work of lower priority.)
+    // Prevents two jobs from preempting each other in turn: between a job within its team's
+    // guarantee and a job of higher priority beyond the guarantee of its team, the latter may
+    // preempt until the former has starved, and never after that. Without precedence for the
+    // latter, urgent jobs beyond a guarantee waited for 30 seconds and longer while all machines
+    // ran guaranteed jobs of lower priority.
     if (other.priority < priority) return guaranteed || !other.starved;
     if (!guaranteed || other.guaranteed || other.team == team) return false;
     return starved || other.priority <= priority;
@@ -76,7 +79,7 @@
                          ? between(assignment.running_since, now_)
                          : Seconds{0};
     double cost = other.spec.saves() ? other.spec.save_time.count() : ran.count();
-    cost += priority_step_s * static_cast<int>(other.spec.priority);
+    cost += priority_step_cost_s * static_cast<int>(other.spec.priority);
     if (other.spec.kind == Kind::gang) cost *= other.spec.tasks;
     return cost * (1 + other.spec.need.gpus);
 }
@@ -92,8 +95,9 @@
 std::vector<Victim> VictimSearch::victims_on(const Machine& machine) const {
     std::vector<Victim> out;
     for (const auto& [key, task] : machine.assigned_tasks) {
-        if (!may_be_stopped(*task.assignment) || chosen_.contains(key)) continue;
-        if (!eligibility_.may_stop(eligibility_on(catalog_, machine, *task.job, quota_))) continue;
+        if (!is_stoppable(*task.assignment) || chosen_victims_.contains(key)) continue;
+        if (!eligibility_.may_preempt(eligibility_on(catalog_, machine, *task.job, quota_)))
+            continue;
         out.push_back({task.job, key.index, cost_of_stopping(*task.job, *task.assignment)});
     }
     std::sort(out.begin(), out.end(),
@@ -104,38 +108,40 @@
 std::optional<PreemptionPlan> VictimSearch::plan_on(Machine& machine) const {
     PreemptionPlan plan{&machine, {}, 0};
     Resources free = catalog_[machine.identity.type].size - machine.used();
-    if (const auto it = planned_.find(&machine); it != planned_.end()) free -= it->second;
+    if (const auto it = planned_usage_.find(&machine); it != planned_usage_.end())
+        free -= it->second;
     for (const auto& victim : victims_on(machine)) {
         if (free.holds(job_.spec.need)) break;
         free += victim.job->spec.need;
         plan.cost += victim.cost;
         plan.victims.push_back(victim);
     }
-    // An array has had what is free already. A gang that lacks a machine or two stops others only
-    // there and takes the rest as it is.
+    // DSMF has already bound an array to free resources, so that a plan without victims is of no
+    // use to it. A gang that lacks only a few machines preempts only there and uses free resources
+    // on the others.
     const bool gang = job_.spec.kind == Kind::gang;
     if (!free.holds(job_.spec.need) || (plan.victims.empty() && !gang)) return std::nullopt;
     plan.cost += cost_of_fetching(machine);
     return plan;
 }
 
-void VictimSearch::take(const PreemptionPlan& plan) {
-    auto& planned = planned_[plan.machine];
+void VictimSearch::assume_carried_out(const PreemptionPlan& plan) {
+    auto& planned_usage = planned_usage_[plan.machine];
     for (const auto& victim : plan.victims) {
-        chosen_.insert({victim.job->serial, victim.index});
-        planned -= victim.job->spec.need;
+        chosen_victims_.insert({victim.job->serial, victim.index});
+        planned_usage -= victim.job->spec.need;
     }
-    planned += job_.spec.need;
+    planned_usage += job_.spec.need;
 }
 
-// The cheapest plan first; only the plan of the machine just taken changes by that.
+// Chooses the cheapest plan first. A chosen plan changes only the next plan of the same machine.
 std::vector<PreemptionPlan> VictimSearch::plans(const std::optional<std::string>& zone,
-                                                std::uint32_t want) {
+                                                std::uint32_t tasks_to_place) {
     const auto costs_more = [](const PreemptionPlan& a, const PreemptionPlan& b) {
         return a.cost > b.cost;
     };
-    chosen_.clear();
-    planned_.clear();
+    chosen_victims_.clear();
+    planned_usage_.clear();
     std::vector<PreemptionPlan> heap;
     for (auto* machine : candidates_) {
         if (!inventory_.allows(job_.spec, *machine) || (zone && machine->identity.zone != *zone))
@@ -144,11 +150,11 @@
     }
     std::make_heap(heap.begin(), heap.end(), costs_more);
     std::vector<PreemptionPlan> out;
-    while (out.size() < want && !heap.empty()) {
+    while (out.size() < tasks_to_place && !heap.empty()) {
         std::pop_heap(heap.begin(), heap.end(), costs_more);
         auto best = std::move(heap.back());
         heap.pop_back();
-        take(best);
+        assume_carried_out(best);
         auto& machine = *best.machine;
         out.push_back(std::move(best));
         if (auto again = plan_on(machine)) {
@@ -160,16 +166,18 @@
 }
 
 std::vector<PreemptionPlan> VictimSearch::plans_in_best_zone(const std::vector<std::string>& zones,
-                                                             std::uint32_t want) {
+                                                             std::uint32_t tasks_to_place) {
     std::vector<PreemptionPlan> best;
-    double least = std::numeric_limits<double>::max();
+    double lowest_cost = std::numeric_limits<double>::max();
     for (const auto& zone : zones) {
-        auto here = plans(zone, want);
+        auto zone_plans = plans(zone, tasks_to_place);
         double cost = 0;
-        for (const auto& plan : here) cost += plan.cost;
-        if (here.size() < best.size() || (here.size() == best.size() && cost >= least)) continue;
-        best = std::move(here);
-        least = cost;
+        for (const auto& plan : zone_plans) cost += plan.cost;
+        if (zone_plans.size() < best.size() ||
+            (zone_plans.size() == best.size() && cost >= lowest_cost))
+            continue;
+        best = std::move(zone_plans);
+        lowest_cost = cost;
     }
     return best;
 }
@@ -178,23 +186,24 @@
                                                   const std::vector<Machine*>& candidates,
                                                   TimePoint now) const {
     const bool gang = job.spec.kind == Kind::gang;
-    auto want = std::min(job.idle_count(), quota.remaining_tasks(job));
-    if (gang && want < job.spec.tasks) return {};
-    if (!gang) want = std::min(want, array_preempts_a_cycle);
+    auto tasks_to_place = std::min(job.idle_count(), quota.remaining_tasks(job));
+    if (gang && tasks_to_place < job.spec.tasks) return {};
+    if (!gang) tasks_to_place = std::min(tasks_to_place, max_array_preemptions_per_cycle);
     VictimSearch search(job, quota, catalog_, inventory_, candidates, now);
     std::vector<PreemptionPlan> plans;
     if (!job.spec.one_zone)
-        plans = search.plans(std::nullopt, want);
+        plans = search.plans(std::nullopt, tasks_to_place);
     else if (!job.assignments.empty())
         plans = search.plans(inventory_.at(job.assignments.begin()->second.machine).identity.zone,
-                             want);
+                             tasks_to_place);
     else
-        plans = search.plans_in_best_zone(config_.zones, want);
-    // Without anybody to stop, DSMF has refused what is free for its own reasons.
-    const bool stops_nobody =
+        plans = search.plans_in_best_zone(config_.zones, tasks_to_place);
+    // If no plan has victims, the resources are free and DSMF has rejected them for its own
+    // reasons.
+    const bool has_no_victims =
         std::all_of(plans.begin(), plans.end(),
                     [](const PreemptionPlan& plan) { return plan.victims.empty(); });
-    if (stops_nobody || (gang && plans.size() < want)) return {};
+    if (has_no_victims || (gang && plans.size() < tasks_to_place)) return {};
     return plans;
 }
 
@@ -203,10 +212,11 @@
     const bool gang = job.spec.kind == Kind::gang;
     auto attempt = job_table_.next_attempt();
     for (const auto& plan : plans) {
-        Seconds longest{0};
+        Seconds longest_save{0};
         for (const auto& victim : plan.victims)
-            longest = std::max(longest, JobTable::stop_to_save(
-                                            *victim.job, victim.job->assignments.at(victim.index)));
+            longest_save = std::max(
+                longest_save,
+                JobTable::stop_to_save(*victim.job, victim.job->assignments.at(victim.index)));
         if (!gang) attempt = job_table_.next_attempt();
         const auto run = estimates_.expected_run(job);
         Assignment assignment;
@@ -214,17 +224,18 @@
         assignment.rank = quota.rank(job);
         assignment.makespan = assignment.rpm = run;
         assignment.reserved_until =
-            later(now, longest + hold_beyond_save + config_.workers.heartbeat);
+            later(now, longest_save + reservation_margin + config_.workers.heartbeat);
         job.starvation.started_under_minimum_share |= quota.under_minimum_share(job);
         job_table_.bind(job, *plan.machine, assignment, now);
-        quota.take(job);
+        quota.add_bound_task(job);
     }
 }
 
 void Preemption::preempt_for(const std::vector<Job*>& waiting,
                              const std::set<const Machine*>& reserved, QuotaSnapshot& quota,
                              TimePoint now) {
-    // On most cycles nobody waiting may stop anything, and no machine needs to be looked at.
+    // In most cycles, no waiting job may preempt any task. Comparing the distinct eligibilities
+    // first avoids the search of all machines.
     std::set<PreemptionEligibility> stoppable;
     std::vector<Machine*> all;
     std::vector<Machine*> unreserved;
@@ -233,21 +244,22 @@
         all.push_back(&machine);
         if (!reserved.contains(&machine)) unreserved.push_back(&machine);
         for (const auto& [key, task] : machine.assigned_tasks)
-            if (may_be_stopped(*task.assignment))
+            if (is_stoppable(*task.assignment))
                 stoppable.insert(eligibility_on(catalog_, machine, *task.job, quota));
     }
     for (auto* job : waiting) {
         const auto eligibility = eligibility_of(*job, quota);
         if (eligibility.priority == Priority::low && !eligibility.guaranteed) continue;
-        // Guard against work that never ends: a mistaken job stopped others at each of its tries,
-        // every half minute for as long as it was open.
-        if (job->suspect() || job->failures.tries_in_a_row >= most_failed_tries) continue;
-        // Guard against wrong_place: plans do not look at how many of the job's tasks a zone has.
-        // Only gangs were left out, and an array was put into one zone beyond half of its tasks.
+        // Prevents repeated preemption by a job that cannot succeed: a faulty job preempted others
+        // at each of its attempts, every 30 seconds until it ended.
+        if (job->suspect() || job->failures.tries_in_a_row >= max_consecutive_failures) continue;
+        // Prevents wrong_place: plans do not consider how many of the job's tasks a zone already
+        // has. When only gangs were skipped here, more than half of an array's tasks were placed in
+        // one zone.
         if (job->spec.spread && job->spec.tasks > 1) continue;
         if (std::none_of(
                 stoppable.begin(), stoppable.end(),
-                [&](const PreemptionEligibility& other) { return eligibility.may_stop(other); }))
+                [&](const PreemptionEligibility& other) { return eligibility.may_preempt(other); }))
             continue;
         const auto& candidates = quota.under_minimum_share(*job) ? all : unreserved;
         const auto plans = plans_for(*job, quota, candidates, now);
--- a/src/core/scheduling/preemption.hpp
+++ b/src/core/scheduling/preemption.hpp
@@ -1,6 +1,6 @@
-/// Preemption: finds for waiting jobs whom to stop, where, and at what cost, and binds them there.
-/// Called by `PlacementCycle` after DSMF. A victim with a checkpoint gets time to save; what was
-/// preempted for keeps its place meanwhile (`Assignment::reserved_until`).
+/// Preemption: selects the victims of waiting jobs by cost, stops them and binds the waiting jobs
+/// to their machines. Called by `PlacementCycle` after DSMF. A victim that saves checkpoints gets
+/// time to save; meanwhile, the preempting task keeps its bind (`Assignment::reserved_until`).
 #pragma once
 
 #include <cstdint>
@@ -24,58 +24,61 @@
 
 namespace bendspindle::core {
 
-/// What decides who may preempt whom. Equal for many jobs, so a cycle compares few of them. The
-/// names are the job's own, and live as long as it.
+/// The properties that decide which jobs may preempt which others. Many jobs have equal properties,
+/// so a cycle compares only the distinct ones. The names refer to the strings of the job, which
+/// must outlive this object.
 struct PreemptionEligibility {
     Priority priority = Priority::low;
     bool guaranteed = false;
-    bool starved = false;  // waits too long already for what its team is guaranteed
-    bool under_minimum_share =
-        false;                     // within the fair-share minimum of a class or team that starves
-    bool class_protected = false;  // runs within its class's minimum, which starves
-    bool team_protected = false;
+    bool starved = false;              // has waited too long within its team's guarantee
+    bool under_minimum_share = false;  // fills the fair-share minimum of a starving class or team
+    bool class_protected = false;      // runs within the minimum of its class, which starves
+    bool team_protected = false;       // runs within the minimum of its team, which starves
     std::string_view team;
     std::string_view job_class;
 
-    /// Whether a job so placed may preempt the other.
-    [[nodiscard]] bool may_stop(const PreemptionEligibility& other) const;
+    /// Returns whether a job with these properties may preempt a job with the other's.
+    [[nodiscard]] bool may_preempt(const PreemptionEligibility& other) const;
     auto operator<=>(const PreemptionEligibility&) const = default;
 };
 
-/// A task to be stopped; `cost` in seconds of lost work.
+/// A task to be stopped. `cost` is the weighted loss of work, in seconds.
 struct Victim {
     Job* job = nullptr;
     std::uint32_t index = 0;
     double cost = 0;
 };
 
-/// A place for one task on one machine, and who is to be stopped for it; nobody, if it is free.
+/// A plan to run one task on a machine, and the victims to stop for it; none if the resources are
+/// free.
 struct PreemptionPlan {
     Machine* machine = nullptr;
     std::vector<Victim> victims;
     double cost = 0;
 };
 
-/// One job's search for victims. Plans that it has handed out are taken as carried out by the next.
-/// Must not outlive what it was given.
+/// The search for victims of one job. Each plan assumes that the previous plans of the same call
+/// are carried out. The constructor's arguments must outlive the object.
 class VictimSearch {
   public:
     VictimSearch(const Job& job, const QuotaSnapshot& quota, const MachineCatalog& catalog,
                  const MachineInventory& inventory, const std::vector<Machine*>& candidates,
                  TimePoint now);
-    /// The cheapest plans for up to `want` tasks, in one zone or anywhere. Forgets earlier ones.
+    /// Returns the cheapest plans for up to `tasks_to_place` tasks, in the given zone or, without
+    /// one, in all zones. Discards the plans of earlier calls.
     [[nodiscard]] std::vector<PreemptionPlan> plans(const std::optional<std::string>& zone,
-                                                    std::uint32_t want);
-    /// Of a job whose tasks must be in one zone: where most of them fit, at the least cost.
+                                                    std::uint32_t tasks_to_place);
+    /// Returns the plans for a job whose tasks must run in one zone: those of the zone with the
+    /// most plans, and among such zones, with the lowest cost.
     [[nodiscard]] std::vector<PreemptionPlan> plans_in_best_zone(
-        const std::vector<std::string>& zones, std::uint32_t want);
+        const std::vector<std::string>& zones, std::uint32_t tasks_to_place);
 
   private:
     std::optional<PreemptionPlan> plan_on(Machine& machine) const;
     std::vector<Victim> victims_on(const Machine& machine) const;
     double cost_of_stopping(const Job& other, const Assignment& assignment) const;
     double cost_of_fetching(const Machine& machine) const;
-    void take(const PreemptionPlan& plan);
+    void assume_carried_out(const PreemptionPlan& plan);
 
     const Job& job_;
     const QuotaSnapshot& quota_;
@@ -84,11 +87,11 @@
     const std::vector<Machine*>& candidates_;
     const TimePoint now_;
     const PreemptionEligibility eligibility_;
-    std::set<TaskKey> chosen_;
-    std::map<const Machine*, Resources> planned_;
+    std::set<TaskKey> chosen_victims_;
+    std::map<const Machine*, Resources> planned_usage_;
 };
 
-/// What it was given must outlive it.
+/// Preempts running tasks for waiting jobs. The constructor's arguments must outlive the object.
 class Preemption {
   public:
     Preemption(const Config& config, const MachineCatalog& catalog, MachineInventory& inventory,
@@ -99,8 +102,9 @@
           job_table_(job_table),
           estimates_(estimates) {}
 
-    /// `waiting` in the order of DSMF: what it could not bind. `reserved`: machines that are kept
-    /// for gangs within a fair-share minimum; only such work preempts there.
+    /// Preempts for the jobs of `waiting`, which DSMF could not bind completely, in that order.
+    /// Only jobs under a fair-share minimum preempt on the machines in `reserved`, which are
+    /// reserved for gangs under such a minimum.
     void preempt_for(const std::vector<Job*>& waiting, const std::set<const Machine*>& reserved,
                      QuotaSnapshot& quota, TimePoint now);
 
--- a/src/core/scheduling/quota_accounting.hpp
+++ b/src/core/scheduling/quota_accounting.hpp
@@ -1,9 +1,9 @@
-/// Owner of the teams' limits and guarantees: what each team uses, who is within its guarantee, and
-/// what that says of the order in which jobs go. Asked by the placement cycle and by the autoscaler
-/// for a snapshot each; keeps nothing between them.
+/// Accounting of team quotas: the usage of each team, the jobs within a guarantee, and the
+/// resulting scheduling rank of each job. The placement cycle and the autoscaler each take a
+/// snapshot; `QuotaAccounting` keeps no state between snapshots.
 ///
-/// No team is ever beyond its limit (rule quota): where it is not known whose work runs, all of it
-/// counts against every team.
+/// No team ever exceeds its limit (rule quota): resources whose team is unknown count against every
+/// team.
 #pragma once
 
 #include <cstdint>
@@ -22,63 +22,67 @@
 
 namespace bendspindle::core {
 
-/// The teams' accounts at one moment; decisions taken since are entered with `take`.
+/// The usage of all teams at one point in time. Tasks bound after that are added with
+/// `add_bound_task`.
 class QuotaSnapshot {
   public:
     QuotaSnapshot(const Config& config, Capacity capacity)
         : config_(config), capacity_(std::move(capacity)) {}
 
-    /// How many more of the job's tasks its team's limit allows now.
+    /// Returns how many more tasks of the job the limit of its team allows.
     [[nodiscard]] std::uint32_t remaining_tasks(const Job& job) const;
-    /// Whether the job is within its team's guarantee.
+    /// Returns whether the job is within its team's guarantee.
     [[nodiscard]] bool guaranteed(const Job& job) const { return guaranteed_.contains(job.serial); }
-    /// Whether the job goes first, to fill the fair-share minimum of a class or team that starves
-    /// (fair_share/minimum_share).
+    /// Returns whether the job fills the fair-share minimum of a class or team, and is therefore
+    /// scheduled before the usual order (fair_share/minimum_share).
     [[nodiscard]] bool under_minimum_share(const Job& job) const {
         return under_minimum_share_.contains(job.serial);
     }
-    /// Whether it runs within the minimum of its class, or team, while that starves: others may not
-    /// preempt it.
+    /// Returns whether the job runs within the minimum of its class while that class starves: jobs
+    /// of other classes may not preempt it.
     [[nodiscard]] bool class_protected(const Job& job) const {
         return class_protected_.contains(job.serial);
     }
+    /// Returns whether the job runs within the minimum of its team while that team starves: jobs of
+    /// other teams may not preempt it.
     [[nodiscard]] bool team_protected(const Job& job) const {
         return team_protected_.contains(job.serial);
     }
-    /// Of the machines that the job may use, the part that this many of its tasks take.
+    /// Returns the share that `tasks` tasks of the job use of the machines allowed for the job.
     [[nodiscard]] double share(const Job& job, std::size_t tasks) const {
         return capacity_.share(job.spec, tasks);
     }
-    /// The exceptions to the order of DSMF, lower goes first: services, fair-share minimums, work
-    /// within its team's guarantee, then the order in which preemption would decide
-    /// (docs/design.md).
+    /// Returns the job's rank, which precedes the makespan in the scheduling order. Lower ranks are
+    /// scheduled first: services, then jobs under a fair-share minimum, jobs within their team's
+    /// guarantee, and all other jobs. The last two are further ordered by priority, as in
+    /// preemption (docs/design.md).
     [[nodiscard]] int rank(const Job& job) const;
-    /// One more of its tasks was bound.
-    void take(const Job& job) { use_[job.spec.team] += job.spec.need; }
+    /// Adds a task of the job that was bound after the snapshot.
+    void add_bound_task(const Job& job) { usage_[job.spec.team] += job.spec.need; }
 
   private:
     friend class QuotaAccounting;
     const Config& config_;
-    std::map<std::string, Resources> use_;
+    std::map<std::string, Resources> usage_;
     Capacity capacity_;
-    std::unordered_set<std::uint64_t> guaranteed_;  // serials
-    std::unordered_map<std::uint64_t, int>
-        under_minimum_share_;  // serial -> rank, the oldest first
+    std::unordered_set<std::uint64_t> guaranteed_;  // job serials
+    // Ranks by job serial; older jobs have lower ranks.
+    std::unordered_map<std::uint64_t, int> under_minimum_share_;
     std::unordered_set<std::uint64_t> class_protected_;
     std::unordered_set<std::uint64_t> team_protected_;
 };
 
-/// What it was given must outlive it.
+/// Takes snapshots of the quota usage. The constructor's arguments must outlive the object.
 class QuotaAccounting {
   public:
     QuotaAccounting(const Config& config, const MachineCatalog& catalog,
                     const MachineInventory& inventory, const JobTable& job_table)
         : config_(config), catalog_(catalog), inventory_(inventory), job_table_(job_table) {}
-    /// The accounts as of now.
+    /// Returns the usage of all teams at `now`.
     [[nodiscard]] QuotaSnapshot snapshot(TimePoint now) const;
 
   private:
-    void fill_minimum_shares(QuotaSnapshot& quota, TimePoint now) const;
+    void assign_minimum_share_ranks(QuotaSnapshot& quota, TimePoint now) const;
 
     const Config& config_;
     const MachineCatalog& catalog_;
--- a/src/core/scheduling/runtime_estimates.cpp
+++ b/src/core/scheduling/runtime_estimates.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr double least_ratio = 0.2;
-constexpr double most_ratio = 5.0;
-constexpr Seconds least_run{0.5};
+constexpr double min_ratio = 0.2;
+constexpr double max_ratio = 5.0;
+constexpr Seconds min_run{0.5};
 
 }  // namespace
 
@@ -17,8 +17,7 @@
     job.run_times.mean += (time - job.run_times.mean) / std::min<double>(job.run_times.count, 20);
     if (job.spec.estimate.count() <= 0) return;
     auto& learned = classes_[job.spec.job_class];
-    const double ratio =
-        std::clamp(time.count() / job.spec.estimate.count(), least_ratio, most_ratio);
+    const double ratio = std::clamp(time.count() / job.spec.estimate.count(), min_ratio, max_ratio);
     ++learned.samples;
     learned.ratio += (ratio - learned.ratio) / std::min<double>(learned.samples + 3, 30);
 }
@@ -29,8 +28,8 @@
 }
 
 Seconds RuntimeEstimates::expected_run(const Job& job) const {
-    if (job.run_times.count > 0) return std::max(job.run_times.mean, least_run);
-    return std::max(job.spec.estimate * ratio(job.spec.job_class), least_run);
+    if (job.run_times.count > 0) return std::max(job.run_times.mean, min_run);
+    return std::max(job.spec.estimate * ratio(job.spec.job_class), min_run);
 }
 
 Seconds RuntimeEstimates::remaining(const Job& job, const Assignment& assignment,
@@ -40,7 +39,7 @@
         assignment.state == TaskState::fetching || assignment.state == TaskState::waiting)
         return run;
     const auto ran = between(assignment.running_since, now);
-    // A task that outlives its estimate is taken to need a quarter of what it has had, again.
+    // A task that exceeds its estimate is expected to run for another quarter of its time so far.
     return std::max(run - ran, ran * 0.25);
 }
 
--- a/src/core/scheduling/runtime_estimates.hpp
+++ b/src/core/scheduling/runtime_estimates.hpp
@@ -1,6 +1,6 @@
-/// Owner of what was learned of run times: how far the owners' estimates are off, by class. Taught
-/// by reconciliation as tasks complete; read by scheduling and autoscaling. Begins empty in each
-/// term.
+/// Learned run times: by job class, the ratio of actual run times to the owners' estimates. Updated
+/// by reconciliation when tasks complete; read by scheduling and autoscaling. Empty at the start of
+/// each term.
 #pragma once
 
 #include <map>
@@ -11,16 +11,16 @@
 
 namespace bendspindle::core {
 
-/// Ratios of actual to estimated run times, bounded and smoothed, for each class.
+/// Bounded and smoothed ratios of actual to estimated run times, by job class.
 class RuntimeEstimates {
   public:
-    /// A task of the job completed after running this long.
+    /// Records that a task of the job completed after running for `time`.
     void ran(Job& job, Seconds time);
-    /// Actual over estimated run time of a class; 1 while nothing is known of it.
+    /// Returns the ratio of actual to estimated run times of a class; 1 if none is known.
     [[nodiscard]] double ratio(const std::string& job_class) const;
-    /// Of one task.
+    /// Returns the expected run time of one task of the job.
     [[nodiscard]] Seconds expected_run(const Job& job) const;
-    /// How much longer a placed task is expected to take.
+    /// Returns the time until an assigned task is expected to end.
     [[nodiscard]] Seconds remaining(const Job& job, const Assignment& assignment,
                                     TimePoint now) const;
 
--- a/tests/dsmf_test.cpp
+++ b/tests/dsmf_test.cpp
@@ -21,13 +21,13 @@
     j.tasks = tasks;
     j.need = {1, 0, 1};
     j.run = Seconds(run);
-    j.rest_after = Seconds(rest);
-    j.in_zone = {0};
+    j.rest_path_after = Seconds(rest);
+    j.tasks_in_zone = {0};
     return j;
 }
 
-// The worked example of the paper (Figure 3): RPM(A2)=80, RPM(A3)=115, RPM(B2)=65, RPM(B3)=60,
-// so the makespans are 115 and 65 and the order is B2, B3, A3, A2.
+// The worked example of the paper (Figure 3): RPM(A2)=80, RPM(A3)=115, RPM(B2)=65 and RPM(B3)=60.
+// The makespans are therefore 115 and 65, and the order is B2, B3, A3, A2.
 TEST(Dsmf, WorkedExampleOfThePaper) {
     enum { a2, a3, b2, b3 };
     std::vector<Pipeline> pipelines(2);
@@ -44,20 +44,20 @@
     EXPECT_EQ(result.binds[3].job, a2);
 }
 
-TEST(Dsmf, RestPathsFollowTheLongestWay) {
+TEST(Dsmf, RestPathsFollowTheLongestPath) {
     // 0 -> 1 -> 3, 0 -> 2 -> 3
     const std::vector<Seconds> length{Seconds(1), Seconds(5), Seconds(2), Seconds(3)};
     const std::vector<std::vector<std::size_t>> waits_on{{}, {0}, {0}, {1, 2}};
     const std::vector<std::vector<Seconds>> transfer{
         {}, {Seconds(1)}, {Seconds(1)}, {Seconds(2), Seconds(10)}};
-    const auto rest = rest_paths(length, waits_on, transfer);
+    const auto rest = rest_path_makespans(length, waits_on, transfer);
     EXPECT_DOUBLE_EQ(rest[3].count(), 3);
     EXPECT_DOUBLE_EQ(rest[1].count(), 10);
     EXPECT_DOUBLE_EQ(rest[2].count(), 15);
     EXPECT_DOUBLE_EQ(rest[0].count(), 17);
 }
 
-TEST(Dsmf, EarliestFinishCountsInputAndSpeed) {
+TEST(Dsmf, EarliestFinishIncludesImageFetchAndSpeed) {
     std::vector<Pipeline> pipelines(1);
     auto j = job(0, 10);
     j.image = image_id("img");
@@ -71,7 +71,7 @@
     EXPECT_EQ(result.binds[0].machine, 1U);
 }
 
-TEST(Dsmf, BindsOnlyWhereRoomOpensWithinOneCycle) {
+TEST(Dsmf, BindsOnlyWhereResourcesAreAvailableWithinOneCycle) {
     std::vector<Pipeline> pipelines(1);
     pipelines[0].eligible = {job(0, 10)};
     std::vector<Machine> machines{machine(0)};
@@ -81,7 +81,7 @@
     EXPECT_EQ(place(pipelines, machines, Seconds(2)).binds.size(), 1U);
 }
 
-TEST(Dsmf, FetchTimeCountsForFinishNotForTheRoomTest) {
+TEST(Dsmf, FetchTimeAffectsFinishButNotAvailability) {
     std::vector<Pipeline> pipelines(1);
     auto j = job(0, 10);
     j.image = image_id("img");
@@ -91,7 +91,7 @@
     EXPECT_EQ(place(pipelines, machines, Seconds(2)).binds.size(), 1U);
 }
 
-TEST(Dsmf, GangsBindWholeOrNotAtAll) {
+TEST(Dsmf, GangsBindAllTasksOrNone) {
     std::vector<Pipeline> pipelines(1);
     auto j = job(0, 10, 0, 3);
     j.gang = true;
@@ -103,12 +103,12 @@
     EXPECT_EQ(place(pipelines, machines, Seconds(2)).binds.size(), 3U);
 }
 
-TEST(Dsmf, OneZoneGangTakesAZoneThatHoldsAllOfIt) {
+TEST(Dsmf, OneZoneGangIsBoundInAZoneThatFitsAllTasks) {
     std::vector<Pipeline> pipelines(1);
     auto j = job(0, 10, 0, 2);
     j.gang = true;
     j.one_zone = true;
-    j.in_zone = {0, 0};
+    j.tasks_in_zone = {0, 0};
     pipelines[0].eligible = {j};
     std::vector<Machine> machines{machine(1), machine(1), machine(1)};
     machines[1].zone = machines[2].zone = 1;
@@ -118,28 +118,30 @@
     EXPECT_EQ(machines[result.binds[1].machine].zone, 1U);
 }
 
-TEST(Dsmf, SpreadKeepsHalfRoundedUpInAZone) {
+TEST(Dsmf, SpreadLimitsAZoneToHalfOfTheTasksRoundedUp) {
     std::vector<Pipeline> pipelines(1);
     auto j = job(0, 10, 0, 5);
     j.spread = true;
-    j.spread_of = 5;
-    j.in_zone = {0, 0};
+    j.total_tasks = 5;
+    j.tasks_in_zone = {0, 0};
     pipelines[0].eligible = {j};
     std::vector<Machine> machines{machine(8)};
     EXPECT_EQ(place(pipelines, machines, Seconds(2)).binds.size(), 3U);
 }
 
-// DSMF in its plain form: every task looks at every machine, and a gang tries on copies.
-struct Plain {
+// Reference implementation of DSMF: examines every machine for every task and binds gangs
+// tentatively on copies of all machines.
+struct ReferencePlacement {
     std::vector<Machine>& machines;
     Seconds cycle;
 
-    std::optional<std::size_t> pick(const EligibleJob& job, std::optional<std::size_t> zone) const {
+    std::optional<std::size_t> find_best_machine(const EligibleJob& job,
+                                                 std::optional<std::size_t> zone) const {
         std::optional<std::size_t> best;
         Seconds best_finish{0};
         for (std::size_t m = 0; m < machines.size(); ++m) {
             if (!job.allows(machines[m], m) || (zone && machines[m].zone != *zone)) continue;
-            if (opens_in(machines[m], job.need) > cycle) continue;
+            if (time_until_fit(machines[m], job.need) > cycle) continue;
             const auto finish = finish_time(machines[m], job);
             if (best && (finish > best_finish ||
                          (finish == best_finish && machines[m].cost >= machines[*best].cost)))
@@ -149,37 +151,39 @@
         }
         return best;
     }
-    // The room is taken the way `place` does it, by placing this one task on this one machine.
-    Seconds take(const EligibleJob& job, std::size_t m) {
+    // Allocates resources as `place` does, by placing this task on this machine alone.
+    Seconds allocate(const EligibleJob& job, std::size_t m) {
         const auto finish = finish_time(machines[m], job);
-        auto one = job;
-        one.tasks = 1;
-        one.gang = one.one_zone = false;
-        one.barred.clear();
-        std::vector<Machine> alone{machines[m]};
-        std::ignore = place({Pipeline{0, {one}}}, alone, cycle);
-        machines[m] = alone[0];
+        auto single_task = job;
+        single_task.tasks = 1;
+        single_task.gang = single_task.one_zone = false;
+        single_task.excluded_machines.clear();
+        std::vector<Machine> single_machine{machines[m]};
+        std::ignore = place({Pipeline{0, {single_task}}}, single_machine, cycle);
+        machines[m] = single_machine[0];
         return finish;
     }
     std::vector<std::size_t> bind(const EligibleJob& job) {
         std::vector<std::size_t> best;
-        std::optional<Seconds> best_last;
+        std::optional<Seconds> best_last_finish;
         std::vector<Machine> best_machines = machines;
-        const auto before = machines;
-        const std::size_t tries = job.gang && job.one_zone ? job.in_zone.size() : 1;
-        for (std::size_t z = 0; z < tries; ++z) {
-            machines = before;
+        const auto original_machines = machines;
+        const std::size_t zones_to_try = job.gang && job.one_zone ? job.tasks_in_zone.size() : 1;
+        for (std::size_t z = 0; z < zones_to_try; ++z) {
+            machines = original_machines;
             std::vector<std::size_t> chosen;
-            Seconds last{0};
+            Seconds last_finish{0};
             while (chosen.size() < job.tasks) {
-                const auto m = pick(job, tries > 1 ? std::optional(z) : std::nullopt);
+                const auto m =
+                    find_best_machine(job, zones_to_try > 1 ? std::optional(z) : std::nullopt);
                 if (!m) break;
-                last = std::max(last, take(job, *m));
+                last_finish = std::max(last_finish, allocate(job, *m));
                 chosen.push_back(*m);
             }
-            if (job.gang && (chosen.size() != job.tasks || (best_last && last >= *best_last)))
+            if (job.gang && (chosen.size() != job.tasks ||
+                             (best_last_finish && last_finish >= *best_last_finish)))
                 continue;
-            best_last = last;
+            best_last_finish = last_finish;
             best = chosen;
             best_machines = machines;
         }
@@ -188,48 +192,49 @@
     }
 };
 
-// Hundreds of machines are placed on without looking at all of them for each task; the decisions
-// stay those of the plain form.
-TEST(Dsmf, DecidesAsThePlainFormDoes) {
+// `place` does not examine all machines for each task. Its decisions must equal those of the
+// reference implementation, which does.
+TEST(Dsmf, DecisionsEqualTheReferenceImplementation) {
     std::mt19937 random(7);
-    const auto upto = [&](int n) { return std::uniform_int_distribution<int>(0, n)(random); };
+    const auto up_to = [&](int n) { return std::uniform_int_distribution<int>(0, n)(random); };
     for (int round = 0; round < 60; ++round) {
         std::vector<Machine> machines;
-        for (int i = 0, n = 3 + upto(37); i < n; ++i) {
-            auto m = machine(upto(8));
-            m.zone = static_cast<std::size_t>(upto(2));
+        for (int i = 0, n = 3 + up_to(37); i < n; ++i) {
+            auto m = machine(up_to(8));
+            m.zone = static_cast<std::size_t>(up_to(2));
             m.group = m.zone;
-            m.cost = upto(2);
+            m.cost = up_to(2);
             m.fetch_gb_per_s = 0.5;
-            m.releases = {{Seconds(upto(3)), {1.0 + upto(3), 0, 4}}};
-            if (upto(1)) m.images = {{image_id("img" + std::to_string(upto(3))), Seconds(upto(4))}};
+            m.releases = {{Seconds(up_to(3)), {1.0 + up_to(3), 0, 4}}};
+            if (up_to(1))
+                m.images = {{image_id("img" + std::to_string(up_to(3))), Seconds(up_to(4))}};
             machines.push_back(m);
         }
         std::vector<Pipeline> pipelines;
-        for (std::size_t i = 0, n = 1 + static_cast<std::size_t>(upto(9)); i < n; ++i) {
-            auto j = job(i, 5 + upto(50), 0, 1 + static_cast<std::uint32_t>(upto(11)));
-            j.need = {1.0 + upto(2), 0, 1};
-            j.gang = upto(1) == 1;
-            j.one_zone = j.gang && upto(1) == 1;
-            j.in_zone = {0, 0, 0};
-            j.image = image_id("img" + std::to_string(upto(3)));
-            j.image_gb = 1 + upto(5);
-            j.groups = {true, upto(3) > 0, upto(3) > 0};
-            if (upto(3) == 0) j.barred = {0, 2};
-            pipelines.push_back({upto(1), {j}});
+        for (std::size_t i = 0, n = 1 + static_cast<std::size_t>(up_to(9)); i < n; ++i) {
+            auto j = job(i, 5 + up_to(50), 0, 1 + static_cast<std::uint32_t>(up_to(11)));
+            j.need = {1.0 + up_to(2), 0, 1};
+            j.gang = up_to(1) == 1;
+            j.one_zone = j.gang && up_to(1) == 1;
+            j.tasks_in_zone = {0, 0, 0};
+            j.image = image_id("img" + std::to_string(up_to(3)));
+            j.image_gb = 1 + up_to(5);
+            j.groups = {true, up_to(3) > 0, up_to(3) > 0};
+            if (up_to(3) == 0) j.excluded_machines = {0, 2};
+            pipelines.push_back({up_to(1), {j}});
         }
-        auto for_plain = machines;
+        auto reference_machines = machines;
         const auto result = place(pipelines, machines, Seconds(2));
-        Plain plain{for_plain, Seconds(2)};
-        std::size_t at = 0;
+        ReferencePlacement reference{reference_machines, Seconds(2)};
+        std::size_t next_bind = 0;
         for (const auto p : result.order)
-            for (const auto expected : plain.bind(pipelines[p].eligible[0])) {
-                ASSERT_LT(at, result.binds.size());
-                EXPECT_EQ(result.binds[at].pipeline, p);
-                EXPECT_EQ(result.binds[at].machine, expected) << "round " << round;
-                ++at;
+            for (const auto expected : reference.bind(pipelines[p].eligible[0])) {
+                ASSERT_LT(next_bind, result.binds.size());
+                EXPECT_EQ(result.binds[next_bind].pipeline, p);
+                EXPECT_EQ(result.binds[next_bind].machine, expected) << "round " << round;
+                ++next_bind;
             }
-        EXPECT_EQ(at, result.binds.size());
+        EXPECT_EQ(next_bind, result.binds.size());
     }
 }
 
