--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -11,20 +11,20 @@
 
 constexpr std::uint32_t max_machines_per_request = 50;
 constexpr std::size_t max_machines_per_release = 100;
-constexpr Seconds refused_pause{15};
-// Learned demand goes behind whatever waits.
-constexpr int expected_rank = 1000;
+constexpr Seconds refused_pool_backoff{15};
+// Forecast demand ranks after all waiting jobs.
+constexpr int forecast_rank = 1000;
 
 }  // namespace
 
-// Packs wants onto the machines there are, and onto new ones where those are full.
+// Packs demands onto the existing machines, and onto new ones when those are full.
 class BinPacking {
   public:
     struct Pool {
         PoolKey key;
         std::size_t type = 0;
         bool refused = false;
-        std::uint32_t have = 0;
+        std::uint32_t machine_count = 0;
         std::uint32_t to_scale_out = 0;
     };
 
@@ -36,15 +36,15 @@
     }
     void add(const Machine& machine) {
         const PoolKey key{machine.identity.type_name, machine.identity.zone, machine.identity.spot};
-        // The catalog may have moved a type away from a zone in which machines of it still run.
+        // The catalog may no longer offer a type in a zone where machines of that type still run.
         add_pool(key, machine.identity.type, false);
         const auto pool = index_.at(key);
-        ++pools_[pool].have;
+        ++pools_[pool].machine_count;
         bins_.push_back({&machine, pool, catalog_[machine.identity.type].size, false});
     }
-    void pack(const JobSpec& spec, std::uint32_t tasks, bool expected);
+    void pack(const JobSpec& spec, std::uint32_t tasks, bool is_forecast);
     const std::vector<Pool>& pools() const { return pools_; }
-    std::set<std::string> used() const {
+    std::set<std::string> used_machines() const {
         std::set<std::string> out;
         for (const auto& bin : bins_)
             if (bin.machine && bin.used) out.insert(bin.machine->identity.name);
@@ -53,35 +53,37 @@
 
   private:
     struct Bin {
-        const Machine* machine = nullptr;  // null: to be scaled out
+        const Machine* machine = nullptr;  // null: a machine to scale out
         std::size_t pool = 0;
         Resources free;
         bool used = false;
     };
-    // One want on its way: what is left of it, and what its spec says of each pool.
-    struct Load {
+    // A demand while it is packed: its remaining tasks, and the price and permission of each pool.
+    struct PackingState {
         const JobSpec& spec;
-        bool expected;
-        bool together;
+        bool is_forecast;
+        bool same_zone;
         std::optional<std::string> zone;
-        std::uint32_t left;
+        std::uint32_t remaining_tasks;
         std::vector<double> price;
         std::vector<bool> may_use;
 
-        bool excluded(const std::string& other) const { return together && zone && *zone != other; }
+        bool excluded(const std::string& other) const {
+            return same_zone && zone && *zone != other;
+        }
     };
-    double price_a_task(const JobSpec& spec, const Pool& pool) const;
-    static void fill(Bin& bin, Load& load) {
-        while (load.left > 0 && bin.free.holds(load.spec.need)) {
-            bin.free -= load.spec.need;
+    double price_per_task(const JobSpec& spec, const Pool& pool) const;
+    static void fill(Bin& bin, PackingState& state) {
+        while (state.remaining_tasks > 0 && bin.free.holds(state.spec.need)) {
+            bin.free -= state.spec.need;
             bin.used = true;
-            --load.left;
+            --state.remaining_tasks;
         }
     }
     static bool excluded(const Bin& bin, const JobSpec& spec);
-    void onto_existing_machines(Load& load);
-    void onto_new_machines(Load& load);
-    std::optional<std::size_t> cheapest(const Load& load) const;
+    void pack_existing_machines(PackingState& state);
+    void pack_new_machines(PackingState& state);
+    std::optional<std::size_t> cheapest_pool(const PackingState& state) const;
 
     const MachineCatalog& catalog_;
     std::vector<Pool> pools_;
@@ -89,113 +91,117 @@
     std::vector<Bin> bins_;
 };
 
-// The price of one task on a machine of this kind, with what the task leaves unused of it.
-double BinPacking::price_a_task(const JobSpec& spec, const Pool& pool) const {
+// Returns the price per task on a machine of the pool, including resources that stay unused.
+double BinPacking::price_per_task(const JobSpec& spec, const Pool& pool) const {
     const auto& type = catalog_[pool.type];
-    double fit = std::numeric_limits<double>::max();
-    const auto narrow = [&](double need, double size) {
-        if (need > 0) fit = std::min(fit, std::floor(size / need));
+    double tasks_per_machine = std::numeric_limits<double>::max();
+    const auto apply_limit = [&](double need, double size) {
+        if (need > 0) tasks_per_machine = std::min(tasks_per_machine, std::floor(size / need));
     };
-    narrow(spec.need.cpus, type.size.cpus);
-    narrow(spec.need.gpus, type.size.gpus);
-    narrow(spec.need.memory_gb, type.size.memory_gb);
-    return (pool.key.spot ? type.spot_price : type.price) / std::max(fit, 1.0);
+    apply_limit(spec.need.cpus, type.size.cpus);
+    apply_limit(spec.need.gpus, type.size.gpus);
+    apply_limit(spec.need.memory_gb, type.size.memory_gb);
+    return (pool.key.spot ? type.spot_price : type.price) / std::max(tasks_per_machine, 1.0);
 }
 
-void BinPacking::pack(const JobSpec& spec, std::uint32_t tasks, bool expected) {
-    Load load{spec,      expected, spec.one_zone && spec.kind == Kind::gang && spec.tasks > 1,
-              spec.zone, tasks,    {},
-              {}};
+void BinPacking::pack(const JobSpec& spec, std::uint32_t tasks, bool is_forecast) {
+    PackingState state{
+        spec,      is_forecast, spec.one_zone && spec.kind == Kind::gang && spec.tasks > 1,
+        spec.zone, tasks,       {},
+        {}};
     for (const auto& pool : pools_) {
-        load.price.push_back(price_a_task(spec, pool));
-        load.may_use.push_back(allowed(spec, pool.key.type, pool.key.zone, pool.key.spot) &&
-                               catalog_.suits(spec, catalog_[pool.type]));
+        state.price.push_back(price_per_task(spec, pool));
+        state.may_use.push_back(allowed(spec, pool.key.type, pool.key.zone, pool.key.spot) &&
+                                catalog_.suits(spec, catalog_[pool.type]));
     }
-    onto_existing_machines(load);
-    onto_new_machines(load);
+    pack_existing_machines(state);
+    pack_new_machines(state);
 }
 
-// Guard against a job that waits for ever: it had failed on one of the machines it needs, was not
-// placed there again, and since the machine was there none was scaled out. Of a job that fails
-// everywhere that says nothing.
+// Prevents a job from waiting forever: a job that had failed on one of the machines that it needs
+// was not placed there again, and because that machine counted as capacity, none was scaled out for
+// it. The failures of a job that fails on every machine weigh too little to exclude a machine.
 bool BinPacking::excluded(const Bin& bin, const JobSpec& spec) {
     if (!bin.machine || bin.machine->failures.weight_by_job.empty()) return false;
     const auto failed = bin.machine->failures.weight_by_job.find(spec.id);
     return failed != bin.machine->failures.weight_by_job.end() && failed->second >= 1;
 }
 
-void BinPacking::onto_existing_machines(Load& load) {
+void BinPacking::pack_existing_machines(PackingState& state) {
     std::vector<std::size_t> order;
     for (std::size_t b = 0; b < bins_.size(); ++b)
-        if (load.may_use[bins_[b].pool] && bins_[b].free.holds(load.spec.need) &&
-            !excluded(bins_[b], load.spec))
+        if (state.may_use[bins_[b].pool] && bins_[b].free.holds(state.spec.need) &&
+            !excluded(bins_[b], state.spec))
             order.push_back(b);
     std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
-        const auto price_a = load.price[bins_[a].pool];
-        const auto price_b = load.price[bins_[b].pool];
+        const auto price_a = state.price[bins_[a].pool];
+        const auto price_b = state.price[bins_[b].pool];
         if (price_a != price_b) return price_a < price_b;
         return bins_[a].used && !bins_[b].used;
     });
     for (const auto b : order) {
-        if (load.left == 0) return;
+        if (state.remaining_tasks == 0) return;
         const auto& zone = pools_[bins_[b].pool].key.zone;
-        if (load.excluded(zone)) continue;
-        fill(bins_[b], load);
-        if (load.together) load.zone = zone;
+        if (state.excluded(zone)) continue;
+        fill(bins_[b], state);
+        if (state.same_zone) state.zone = zone;
     }
 }
 
-// The kind that runs one task for the least, of those not refused lately.
-std::optional<std::size_t> BinPacking::cheapest(const Load& load) const {
+// Returns the pool with the lowest price per task, among those not recently refused by the cloud.
+std::optional<std::size_t> BinPacking::cheapest_pool(const PackingState& state) const {
     std::optional<std::size_t> best;
     for (std::size_t p = 0; p < pools_.size(); ++p) {
         const auto& pool = pools_[p];
-        if (pool.refused || !load.may_use[p]) continue;
-        if (!catalog_[pool.type].size.holds(load.spec.need) || load.excluded(pool.key.zone))
+        if (pool.refused || !state.may_use[p]) continue;
+        if (!catalog_[pool.type].size.holds(state.spec.need) || state.excluded(pool.key.zone))
             continue;
-        // Ordinary machines are not kept ahead of work that spot ones can do.
-        if (load.expected && load.spec.spot && !pool.key.spot) continue;
-        if (!best || load.price[p] < load.price[*best] ||
-            (load.price[p] == load.price[*best] && pool.have < pools_[*best].have))
+        // On-demand machines are not kept ready for forecast demand that may run on spot machines.
+        if (state.is_forecast && state.spec.spot && !pool.key.spot) continue;
+        if (!best || state.price[p] < state.price[*best] ||
+            (state.price[p] == state.price[*best] &&
+             pool.machine_count < pools_[*best].machine_count))
             best = p;
     }
     return best;
 }
 
-void BinPacking::onto_new_machines(Load& load) {
-    while (load.left > 0) {
-        const auto best = cheapest(load);
+void BinPacking::pack_new_machines(PackingState& state) {
+    while (state.remaining_tasks > 0) {
+        const auto best = cheapest_pool(state);
         if (!best) return;
         auto& pool = pools_[*best];
         ++pool.to_scale_out;
-        ++pool.have;
+        ++pool.machine_count;
         Bin bin{nullptr, *best, catalog_[pool.type].size, true};
-        fill(bin, load);
-        if (load.together) load.zone = pool.key.zone;
+        fill(bin, state);
+        if (state.same_zone) state.zone = pool.key.zone;
         bins_.push_back(bin);
         if (pool.to_scale_out >= max_machines_per_request) return;
     }
 }
 
-// How many of a job's tasks should run at once: all of a gang; of an array, as many as finish it
-// by its deadline, or within about a boot where it has none.
-std::uint32_t Autoscaler::wanted(const Job& job, TimePoint now) const {
-    // Machines are not paid for a job that fails everywhere while it waits for its next try.
+// Returns how many tasks of a job should run at once: all tasks of a gang; for an array, as many as
+// are needed to finish it by its deadline, or all of them without a deadline.
+std::uint32_t Autoscaler::wanted_tasks(const Job& job, TimePoint now) const {
+    // No machines are paid for while a job that has failed on all machines waits for its next
+    // attempt.
     if (job.suspect() && job.failures.retry_not_before > now) return 0;
-    const auto left = std::min(job.spec.tasks - job.progress.finished, job.tasks_tried_at_once());
-    if (job.spec.kind != Kind::array || left == 0) return left;
+    const auto remaining_tasks =
+        std::min(job.spec.tasks - job.progress.finished, job.tasks_tried_at_once());
+    if (job.spec.kind != Kind::array || remaining_tasks == 0) return remaining_tasks;
     const auto run = estimates_.expected_run(job);
     Seconds horizon = run;
     if (job.spec.deadline)
-        horizon = (*job.spec.deadline - between(job.accepted_at, now)) * slack_used;
+        horizon = (*job.spec.deadline - between(job.accepted_at, now)) * usable_slack_fraction;
     const double rounds = std::max(1.0, std::floor(horizon / run));
-    return static_cast<std::uint32_t>(std::ceil(left / rounds));
+    return static_cast<std::uint32_t>(std::ceil(remaining_tasks / rounds));
 }
 
 Seconds Autoscaler::start_slack(const Job& job, TimePoint now) const {
     const auto objective = config_.objectives.start_within.find(job.spec.job_class);
     if (objective == config_.objectives.start_within.end()) return Seconds{0};
-    return objective->second * slack_used - between(job.accepted_at, now);
+    return objective->second * usable_slack_fraction - between(job.accepted_at, now);
 }
 
 std::vector<Autoscaler::ExpectedCompletion> Autoscaler::expected_completions(TimePoint now) const {
@@ -214,7 +220,9 @@
     return out;
 }
 
-// A machine that frees up before the job's start is due serves it as well as a new one.
+// Returns whether a machine is expected to become free before the job must start, so that the job
+// needs no new machine. If so, adds the job's run time to the expected completion on that machine.
+// Applies only to gangs of one task.
 bool Autoscaler::waits_for_completion(const Job& job,
                                       std::vector<ExpectedCompletion>& expected_completions,
                                       TimePoint now) const {
@@ -232,32 +240,34 @@
     return true;
 }
 
-std::vector<Autoscaler::Want> Autoscaler::wants(TimePoint now) {
-    std::vector<Want> out;
-    std::map<std::string, ClassDemand> demand;
-    std::map<std::string, std::uint32_t> asked;
+std::vector<Autoscaler::TaskDemand> Autoscaler::collect_demands(TimePoint now) {
+    std::vector<TaskDemand> out;
+    std::map<std::string, ClassDemand> demand_by_class;
+    std::map<std::string, std::uint32_t> requested;
     const auto quota = quota_accounting_.snapshot(now);
     auto completions = expected_completions(now);
     for (const auto& [serial, job] : job_table_.all()) {
         if (job->is_terminal() || !job->record.durable) continue;
         const auto placed = static_cast<std::uint32_t>(job->assignments.size());
-        const auto n = std::min(wanted(*job, now), quota.remaining_tasks(*job) + placed);
-        demand_.note_typical(job->spec);
-        auto& wanted_now = demand[job->spec.job_class];
-        wanted_now.wanted += n;
-        wanted_now.waiting += n - std::min(n, placed);
-        asked[job->spec.job_class] += n;
-        if (n == 0 || waits_for_completion(*job, completions, now)) continue;
-        out.push_back({&job->spec, n, false, quota.rank(*job)});
+        const auto task_count =
+            std::min(wanted_tasks(*job, now), quota.remaining_tasks(*job) + placed);
+        demand_.set_typical_job(job->spec);
+        auto& class_demand = demand_by_class[job->spec.job_class];
+        class_demand.wanted += task_count;
+        class_demand.waiting += task_count - std::min(task_count, placed);
+        requested[job->spec.job_class] += task_count;
+        if (task_count == 0 || waits_for_completion(*job, completions, now)) continue;
+        out.push_back({&job->spec, task_count, false, quota.rank(*job)});
     }
-    demand_.learn(demand, now);
-    for (const auto& [name, target] : demand_.targets(demand, now))
-        if (const auto have = asked[name]; target.tasks > have)
-            out.push_back({target.typical, target.tasks - have, true, expected_rank});
-    // Those with the fewest choices are packed first: what may not use spot machines, then what
-    // needs the most of a machine.
-    std::stable_sort(out.begin(), out.end(), [](const Want& a, const Want& b) {
-        if (a.expected != b.expected) return b.expected;
+    demand_.update(demand_by_class, now);
+    for (const auto& [name, target] : demand_.targets(demand_by_class, now))
+        if (const auto requested_tasks = requested[name]; target.tasks > requested_tasks)
+            out.push_back(
+                {target.typical_job, target.tasks - requested_tasks, true, forecast_rank});
+    // Demands with the fewest options are packed first: jobs that may not use spot machines, then
+    // jobs that need more GPUs.
+    std::stable_sort(out.begin(), out.end(), [](const TaskDemand& a, const TaskDemand& b) {
+        if (a.is_forecast != b.is_forecast) return b.is_forecast;
         if (a.spec->spot != b.spec->spot) return b.spec->spot;
         if (a.spec->need.gpus != b.spec->need.gpus) return a.spec->need.gpus > b.spec->need.gpus;
         return a.rank < b.rank;
@@ -265,7 +275,7 @@
     return out;
 }
 
-BinPacking Autoscaler::pack(const std::vector<Want>& wants, TimePoint now) const {
+BinPacking Autoscaler::pack_demands(const std::vector<TaskDemand>& demands, TimePoint now) const {
     BinPacking packing(catalog_);
     for (std::size_t t = 0; t < catalog_.types().size(); ++t)
         for (const auto& zone : catalog_[t].zones)
@@ -278,7 +288,8 @@
         if (machine.draining() || machine.reachability.inbound_unreachable_since ||
             !machine.identity.type_known)
             continue;
-        // One that nobody has scaled out proves to exist within a heartbeat or two, or never does.
+        // A machine that this term has not scaled out proves its existence within two heartbeat
+        // intervals, or does not exist.
         if (!MachineInventory::certainly_exists(machine) &&
             between(machine.contact.first_seen, now) > config_.workers.heartbeat * 2)
             continue;
@@ -287,35 +298,38 @@
             continue;
         packing.add(machine);
     }
-    for (const auto& want : wants) packing.pack(*want.spec, want.tasks, want.expected);
+    for (const auto& demand : demands) packing.pack(*demand.spec, demand.tasks, demand.is_forecast);
     return packing;
 }
 
 std::vector<std::string> Autoscaler::scale_in(const BinPacking& packing, TimePoint now) {
     std::vector<std::string> out;
-    const auto wanted = packing.used();
+    const auto needed = packing.used_machines();
     for (auto& [name, machine] : inventory_.all()) {
         if (machine.reachability.inbound_unreachable_since) {
-            // No capacity, but no surplus either: the inventory releases it, and few at once.
+            // An unreachable machine is neither capacity nor surplus: the inventory releases such
+            // machines, a few at a time.
             if (machine.lifecycle.releasing && out.size() < max_machines_per_release)
                 out.push_back(name);
             continue;
         }
-        const bool paid = between(machine.contact.first_seen, now) > config_.least_paid;
-        if (wanted.contains(name))
+        const bool min_paid_time_over =
+            between(machine.contact.first_seen, now) > config_.least_paid;
+        if (needed.contains(name))
             machine.lifecycle.surplus_since.reset();
         else if (!machine.lifecycle.surplus_since)
             machine.lifecycle.surplus_since = now;
-        // Guard against machines that are dear and never empty: small tasks kept GPU machines busy
-        // all day that no GPU work wanted, and they were never released.
+        // Drains expensive machines that are never empty: small tasks kept GPU machines busy all
+        // day without any demand for GPUs, so that they were never released.
         machine.lifecycle.draining_for_scale_in =
-            paid && machine.lifecycle.surplus_since &&
+            min_paid_time_over && machine.lifecycle.surplus_since &&
             between(*machine.lifecycle.surplus_since, now) > config_.idle_return;
         const bool idle = machine.contact.has_reported && machine.fencing.confirmed &&
                           machine.assigned_tasks.empty() &&
                           (machine.lifecycle.draining_for_scale_in ||
                            between(machine.lifecycle.idle_since, now) > config_.idle_return);
-        if (!wanted.contains(name) && paid && idle) machine.lifecycle.releasing = true;
+        if (!needed.contains(name) && min_paid_time_over && idle)
+            machine.lifecycle.releasing = true;
         if (machine.lifecycle.releasing && out.size() < max_machines_per_release)
             out.push_back(name);
     }
@@ -326,11 +340,11 @@
     ScalingPlan out;
     if (!catalog_.known()) return out;
     inventory_.keep_time(now);
-    const auto packing = pack(wants(now), now);
+    const auto packing = pack_demands(collect_demands(now), now);
     for (const auto& pool : packing.pools()) {
         if (pool.to_scale_out == 0) continue;
         ScaleOutRequest request;
-        // The term makes the name unique: no other leader uses it.
+        // The term makes the name unique across all leaders.
         request.request = "r-" + std::to_string(term_) + "-" + std::to_string(++next_request_);
         request.type = pool.key.type;
         request.zone = pool.key.zone;
@@ -347,7 +361,8 @@
 void Autoscaler::scaled_out(const ScaleOutRequest& request, const std::vector<std::string>& names,
                             TimePoint now) {
     if (names.size() < request.count)
-        refused_until_[{request.type, request.zone, request.spot}] = later(now, refused_pause);
+        refused_until_[{request.type, request.zone, request.spot}] =
+            later(now, refused_pool_backoff);
     inventory_.scaled_out(request, names, now);
 }
 
--- a/src/core/autoscaling/autoscaler.hpp
+++ b/src/core/autoscaling/autoscaler.hpp
@@ -1,8 +1,8 @@
-/// What to scale out and what to scale in. Demand is packed onto the machines there are; what does
-/// not fit is scaled out, and a machine that nothing is packed on is released once it has idled.
-/// Called by `Controller`; it plans, and the cloud client carries out and reports back. Owner of
-/// the learned demand and of the pools that were refused lately; writes the scale-in fields of
-/// `Machine::lifecycle`.
+/// Decides which machines to scale out and which to release. The demand is packed onto the existing
+/// machines. Machines are scaled out for the tasks that do not fit, and a machine on which nothing
+/// is packed is released after it has idled. Called by `Controller`; the cloud client carries out
+/// the plan and reports the results. Owns the learned demand and the list of pools in which the
+/// cloud recently refused machines, and writes the scale-in fields of `Machine::lifecycle`.
 #pragma once
 
 #include <compare>
@@ -25,16 +25,16 @@
 
 namespace bendspindle::core {
 
-/// Requests to the cloud. Machines in `release` are marked as releasing, and listed again until
-/// their release is answered.
+/// Requests to the cloud. The machines in `release` are marked as releasing, and are listed in each
+/// plan until the cloud has answered their release.
 struct ScalingPlan {
     std::vector<ScaleOutRequest> scale_out;
     std::vector<std::string> release;
-    // Of those: what must be gone even if another controller leads.
+    // The machines in `release` that must be deleted even if another controller has become leader.
     std::vector<std::string> overdue;
 };
 
-/// Machines of one type, zone and kind: what is decided for a pool is decided once.
+/// Identifies a pool: the machines of one type and zone, either all spot or all on-demand.
 struct PoolKey {
     std::string type;
     std::string zone;
@@ -44,7 +44,8 @@
 
 class BinPacking;
 
-/// Plans; see above. One for each term: request names hold the term.
+/// Plans scale-out and scale-in. One instance is created for each term, because request names
+/// contain the term.
 class Autoscaler {
   public:
     Autoscaler(const Config& config, const MachineCatalog& catalog, MachineInventory& inventory,
@@ -59,36 +60,37 @@
           demand_(config, catalog, estimates),
           term_(term) {}
 
-    /// A job was accepted.
+    /// Records the acceptance of a job.
     void arrived(const JobSpec& spec, TimePoint now) { demand_.arrived(spec, now); }
-    /// What to ask of the cloud now.
+    /// Returns the requests to send to the cloud at `now`.
     [[nodiscard]] ScalingPlan plan(TimePoint now);
-    /// The cloud has answered a scale-out. Fewer machines than asked for: the pool rests a while.
+    /// Records the cloud's answer to a scale-out. If the cloud created fewer machines than
+    /// requested, the pool is not scaled out for a while.
     void scaled_out(const ScaleOutRequest& request, const std::vector<std::string>& names,
                     TimePoint now);
 
   private:
-    // Tasks to find machines for: of a job, or of a class that was learned to ask for them.
-    struct Want {
+    // Tasks that need machines: those of a job, or those that a class is expected to submit.
+    struct TaskDemand {
         const JobSpec* spec = nullptr;
         std::uint32_t tasks = 0;
-        bool expected = false;  // learned, not asked for yet
+        bool is_forecast = false;  // forecast, not submitted yet
         int rank = 0;
     };
-    // A gang's task that fills a machine, and when it is expected to end.
+    // A running task of a gang, its machine, and the time until the task is expected to end.
     struct ExpectedCompletion {
         Seconds in{0};
         const Job* job = nullptr;
         const Machine* machine = nullptr;
     };
-    std::vector<Want> wants(TimePoint now);
+    std::vector<TaskDemand> collect_demands(TimePoint now);
     std::vector<ExpectedCompletion> expected_completions(TimePoint now) const;
     bool waits_for_completion(const Job& job, std::vector<ExpectedCompletion>& expected_completions,
                               TimePoint now) const;
-    std::uint32_t wanted(const Job& job, TimePoint now) const;
-    // How much longer a waiting job may wait for a machine to free up, by its class's objective.
+    std::uint32_t wanted_tasks(const Job& job, TimePoint now) const;
+    // Returns how much longer the job may wait for resources under the objective of its class.
     Seconds start_slack(const Job& job, TimePoint now) const;
-    BinPacking pack(const std::vector<Want>& wants, TimePoint now) const;
+    BinPacking pack_demands(const std::vector<TaskDemand>& demands, TimePoint now) const;
     std::vector<std::string> scale_in(const BinPacking& packing, TimePoint now);
 
     const Config& config_;
--- a/src/core/autoscaling/demand_forecast.hpp
+++ b/src/core/autoscaling/demand_forecast.hpp
@@ -1,6 +1,6 @@
-/// Owner of what was learned of demand: how much of each class is wanted, how often its jobs come,
-/// and what follows from that for a boot ahead. Used by `Autoscaler` alone. Begins empty in each
-/// term.
+/// Forecast of demand: learns the demand and the arrival rate of each job class, and predicts the
+/// demand at the time when a machine scaled out now would be running. Used only by `Autoscaler`.
+/// Empty at the start of each term.
 #pragma once
 
 #include <map>
@@ -15,64 +15,68 @@
 
 namespace bendspindle::core {
 
-/// What a class asks for now, in tasks: all, and those of them that are not placed.
+/// The current demand of a class, in tasks: all wanted tasks, and those of them that are not
+/// placed.
 struct ClassDemand {
     double wanted = 0;
     double waiting = 0;
 };
 
-/// What each class is expected to want, learned from arrivals and from what was wanted.
+/// Forecasts the demand of each class from its arrivals and past demand.
 class DemandForecast {
   public:
     DemandForecast(const Config& config, const MachineCatalog& catalog,
                    const RuntimeEstimates& estimates)
         : config_(config), catalog_(catalog), estimates_(estimates) {}
 
-    /// A job was accepted.
+    /// Records the acceptance of a job.
     void arrived(const JobSpec& spec, TimePoint now);
-    /// A job of the class as of now.
-    void note_typical(const JobSpec& spec) { classes_[spec.job_class].typical = spec; }
-    /// Takes in what each class asks for now.
-    void learn(const std::map<std::string, ClassDemand>& now_wanted, TimePoint now);
+    /// Sets the typical job of the class of `spec`.
+    void set_typical_job(const JobSpec& spec) { classes_[spec.job_class].typical_job = spec; }
+    /// Updates the forecast with the current demand of each class.
+    void update(const std::map<std::string, ClassDemand>& current_demand, TimePoint now);
 
-    /// `typical` points into this owner, which never forgets a class.
+    /// Tasks to keep machines for. `typical_job` points into the forecast, which never removes a
+    /// class.
     struct Target {
-        const JobSpec* typical;
+        const JobSpec* typical_job;
         std::uint32_t tasks;
     };
-    /// Tasks of each class to keep machines for, asked for now or not.
+    /// Returns, for each class, the tasks to keep machines for, including tasks not submitted yet.
     [[nodiscard]] std::map<std::string, Target> targets(
-        const std::map<std::string, ClassDemand>& now_wanted, TimePoint now) const;
+        const std::map<std::string, ClassDemand>& current_demand, TimePoint now) const;
 
   private:
-    struct Learned {
-        JobSpec typical;
-        double mean = 0;  // of tasks wanted at once
-        bool seen = false;
-        TimePoint last{};
-        Seconds gap{0};  // between arrivals of its jobs
+    struct ClassHistory {
+        JobSpec typical_job;
+        double mean_wanted = 0;  // of the tasks wanted at once, exponentially weighted
+        bool has_mean = false;
+        TimePoint mean_updated_at{};
+        Seconds arrival_interval{0};  // average interval between arrivals of jobs
         TimePoint last_arrival{};
         std::uint32_t arrivals = 0;
-        double recent = 0;  // arrivals of late, the older the less
-        double tasks = 0;   // of a job, on average
-        Seconds run{0};     // of a task by its owner, on average
+        double recent_arrivals = 0;  // number of arrivals, decayed by `Config::demand_memory`
+        double tasks = 0;            // average number of tasks of a job
+        Seconds run{0};              // average of the owners' run time estimates of a task
     };
-    // `ratio`: of the class's run times to its owners' estimates.
-    double headroom(const Learned& learned, double ratio) const;
-    static double continuation(const Learned& learned, TimePoint now);
-    static std::uint32_t wanted_of_typical(const Learned& learned, double ratio);
-    double forecast(const Learned& learned, double ratio, const ClassDemand& demand) const;
+    // `ratio` is that of the class's actual run times to the owners' estimates.
+    double headroom(const ClassHistory& history, double ratio) const;
+    static double silence_decay(const ClassHistory& history, TimePoint now);
+    static std::uint32_t wanted_tasks_of_typical_job(const ClassHistory& history, double ratio);
+    double forecast_tasks(const ClassHistory& history, double ratio,
+                          const ClassDemand& demand) const;
 
     const Config& config_;
     const MachineCatalog& catalog_;
     const RuntimeEstimates& estimates_;
-    std::map<std::string, Learned> classes_;
-    std::optional<TimePoint> since_;
+    std::map<std::string, ClassHistory> classes_;
+    std::optional<TimePoint> counting_since_;
     TimePoint counted_until_{};
-    Seconds counted_{0};  // how long arrivals have been counted, the older time the less
+    // Time for which arrivals were counted, decayed like `recent_arrivals`.
+    Seconds counted_time_{0};
 };
 
-/// Part of a deadline's or an objective's slack that planning counts on.
-inline constexpr double slack_used = 0.6;
+/// Fraction of the slack of a deadline or an objective that planning uses.
+inline constexpr double usable_slack_fraction = 0.6;
 
 }  // namespace bendspindle::core
