--- a/src/core/autoscaling/autoscaler.cpp
+++ b/src/core/autoscaling/autoscaler.cpp
@@ -358,8 +358,8 @@
     return out;
 }
 
-void Autoscaler::scaled_out(const ScaleOutRequest& request, const std::vector<std::string>& names,
-                            TimePoint now) {
+void Autoscaler::record_scale_out(const ScaleOutRequest& request,
+                                  const std::vector<std::string>& names, TimePoint now) {
     if (names.size() < request.count)
         refused_until_[{request.type, request.zone, request.spot}] =
             later(now, refused_pool_backoff);
--- a/src/core/autoscaling/autoscaler.hpp
+++ b/src/core/autoscaling/autoscaler.hpp
@@ -61,13 +61,13 @@
           term_(term) {}
 
     /// Records the acceptance of a job.
-    void arrived(const JobSpec& spec, TimePoint now) { demand_.arrived(spec, now); }
+    void record_arrival(const JobSpec& spec, TimePoint now) { demand_.record_arrival(spec, now); }
     /// Returns the requests to send to the cloud at `now`.
     [[nodiscard]] ScalingPlan plan(TimePoint now);
     /// Records the cloud's answer to a scale-out. If the cloud created fewer machines than
     /// requested, the pool is not scaled out for a while.
-    void scaled_out(const ScaleOutRequest& request, const std::vector<std::string>& names,
-                    TimePoint now);
+    void record_scale_out(const ScaleOutRequest& request, const std::vector<std::string>& names,
+                          TimePoint now);
 
   private:
     // Tasks that need machines: those of a job, or those that a class is expected to submit.
--- a/src/core/autoscaling/demand_forecast.cpp
+++ b/src/core/autoscaling/demand_forecast.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-void DemandForecast::arrived(const JobSpec& spec, TimePoint now) {
+void DemandForecast::record_arrival(const JobSpec& spec, TimePoint now) {
     auto& history = classes_[spec.job_class];
     if (history.arrivals > 0) {
         const auto arrival_interval = between(history.last_arrival, now);
--- a/src/core/autoscaling/demand_forecast.hpp
+++ b/src/core/autoscaling/demand_forecast.hpp
@@ -30,7 +30,7 @@
         : config_(config), catalog_(catalog), estimates_(estimates) {}
 
     /// Records the acceptance of a job.
-    void arrived(const JobSpec& spec, TimePoint now);
+    void record_arrival(const JobSpec& spec, TimePoint now);
     /// Sets the typical job of the class of `spec`.
     void set_typical_job(const JobSpec& spec) { classes_[spec.job_class].typical_job = spec; }
     /// Updates the forecast with the current demand of each class.
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -37,7 +37,7 @@
 bool Controller::adopt(const JobRecord& record, std::uint64_t mod_revision, TimePoint now) {
     if (knows(record.spec.id)) return false;
     job_table_.adopt(record, mod_revision, now);
-    autoscaler_.arrived(record.spec, now);
+    autoscaler_.record_arrival(record.spec, now);
     return true;
 }
 
@@ -47,7 +47,7 @@
 
 bool Controller::accept(const JobSpec& spec, WallTime submitted, TimePoint now) {
     if (knows(spec.id)) return false;
-    autoscaler_.arrived(spec, now);
+    autoscaler_.record_arrival(spec, now);
     job_table_.accept(spec, submitted, now);
     return true;
 }
@@ -84,7 +84,7 @@
     if (!catalog_.known()) return;
     inventory_.update_health(now);
     agents_.drain(now);
-    placement_cycle_.cycle(now);
+    placement_cycle_.run(now);
 }
 
 ScalingPlan Controller::plan_scaling(TimePoint now) {
@@ -93,7 +93,7 @@
 
 void Controller::scaled_out(const ScaleOutRequest& request, const std::vector<std::string>& names,
                             TimePoint now) {
-    autoscaler_.scaled_out(request, names, now);
+    autoscaler_.record_scale_out(request, names, now);
 }
 
 void Controller::released(const std::vector<std::string>& names) {
--- a/src/core/reconciliation/task_reconciliation.cpp
+++ b/src/core/reconciliation/task_reconciliation.cpp
@@ -206,7 +206,7 @@
             const auto& assignment = job.assignments.at(task.index);
             if (assignment.stage == Assignment::Stage::reported &&
                 assignment.state == TaskState::running)
-                estimates_.ran(job, between(assignment.running_since, now));
+                estimates_.record_run_time(job, between(assignment.running_since, now));
             job_table_.unassign(job, task.index);
         }
         failure_attribution_.task_done(machine, job);
--- a/src/core/scheduling/placement_cycle.cpp
+++ b/src/core/scheduling/placement_cycle.cpp
@@ -218,7 +218,7 @@
     }
 }
 
-void PlacementCycle::cycle(TimePoint now) {
+void PlacementCycle::run(TimePoint now) {
     withdraw_uncommanded_binds(now);
     break_partial_gangs();
     auto quota = quota_accounting_.snapshot(now);
--- a/src/core/scheduling/placement_cycle.hpp
+++ b/src/core/scheduling/placement_cycle.hpp
@@ -35,7 +35,7 @@
           preemption_(preemption) {}
 
     /// Runs one cycle. Requires that the catalog is known.
-    void cycle(TimePoint now);
+    void run(TimePoint now);
 
   private:
     // The input of DSMF, and the machines and jobs that its indices refer to.
--- a/src/core/scheduling/runtime_estimates.cpp
+++ b/src/core/scheduling/runtime_estimates.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void RuntimeEstimates::ran(Job& job, Seconds time) {
+void RuntimeEstimates::record_run_time(Job& job, Seconds time) {
     ++job.run_times.count;
     job.run_times.mean += (time - job.run_times.mean) / std::min<double>(job.run_times.count, 20);
     if (job.spec.estimate.count() <= 0) return;
--- a/src/core/scheduling/runtime_estimates.hpp
+++ b/src/core/scheduling/runtime_estimates.hpp
@@ -15,7 +15,7 @@
 class RuntimeEstimates {
   public:
     /// Records that a task of the job completed after running for `time`.
-    void ran(Job& job, Seconds time);
+    void record_run_time(Job& job, Seconds time);
     /// Returns the ratio of actual to estimated run times of a class; 1 if none is known.
     [[nodiscard]] double ratio(const std::string& job_class) const;
     /// Returns the expected run time of one task of the job.
