--- a/src/core/cluster/job_table.cpp
+++ b/src/core/cluster/job_table.cpp
@@ -190,7 +190,7 @@
 }
 
 Seconds JobTable::stop_to_save(Job& job, Assignment& assignment) {
-    const auto grace = job.spec.saves() ? job.spec.save_time + Seconds{1} : Seconds{0};
+    const auto grace = job.spec.saves_checkpoints() ? job.spec.save_time + Seconds{1} : Seconds{0};
     if (job.spec.kind == Kind::gang)
         stop_all(job, grace);
     else
--- a/src/core/model/job_spec.hpp
+++ b/src/core/model/job_spec.hpp
@@ -31,13 +31,13 @@
     bool spread = false;              // at most half of the tasks, rounded up, may run in one zone
     bool spot = false;                // spot machines are allowed
     Seconds estimate{0};              // estimated run time of a task
-    Seconds checkpoint{0};            // checkpoint interval; 0: tasks do not save checkpoints
+    Seconds checkpoint_interval{0};   // 0: tasks do not save checkpoints
     Seconds save_time{0};             // time that a task needs to save a checkpoint when stopped
     std::optional<Seconds> deadline;  // counted from acceptance
 
     /// Returns whether the job's tasks save checkpoints. A task that does not loses all of its work
     /// when it is stopped.
-    [[nodiscard]] bool saves() const { return checkpoint > Seconds{0}; }
+    [[nodiscard]] bool saves_checkpoints() const { return checkpoint_interval > Seconds{0}; }
 };
 
 }  // namespace bendspindle::core
--- a/src/core/reconciliation/command_planner.cpp
+++ b/src/core/reconciliation/command_planner.cpp
@@ -81,7 +81,7 @@
         auto& job = *task.job;
         auto& assignment = *task.assignment;
         if (assignment.stage == Assignment::Stage::bound || assignment.stopping) continue;
-        const bool saves = job.spec.checkpoint > Seconds{0};
+        const bool saves = job.spec.checkpoint_interval > Seconds{0};
         if (machine.lifecycle.reclaim_at) {
             const auto left = between(now, *machine.lifecycle.reclaim_at);
             // What ends before the machine is reclaimed may go on; what cannot save has nothing to
--- a/src/core/scheduling/preemption.cpp
+++ b/src/core/scheduling/preemption.cpp
@@ -78,7 +78,7 @@
     const auto ran = assignment.state == TaskState::running
                          ? between(assignment.running_since, now_)
                          : Seconds{0};
-    double cost = other.spec.saves() ? other.spec.save_time.count() : ran.count();
+    double cost = other.spec.saves_checkpoints() ? other.spec.save_time.count() : ran.count();
     cost += priority_step_cost_s * static_cast<int>(other.spec.priority);
     if (other.spec.kind == Kind::gang) cost *= other.spec.tasks;
     return cost * (1 + other.spec.need.gpus);
--- a/src/wire/job_spec.cpp
+++ b/src/wire/job_spec.cpp
@@ -79,7 +79,7 @@
     spec.spread = fields.flag("apart");
     spec.spot = fields.flag("loaners");
     spec.estimate = fields.seconds("expect_s");
-    spec.checkpoint = fields.seconds("notch_s");
+    spec.checkpoint_interval = fields.seconds("notch_s");
     spec.save_time = fields.seconds("stow_s");
     if (fields.has("due_s")) spec.deadline = fields.seconds("due_s");
     return spec;
@@ -101,7 +101,7 @@
               {"apart", spec.spread},
               {"loaners", spec.spot},
               {"expect_s", spec.estimate.count()},
-              {"notch_s", spec.checkpoint.count()},
+              {"notch_s", spec.checkpoint_interval.count()},
               {"stow_s", spec.save_time.count()}};
     if (spec.types) map["builds"] = *spec.types;
     if (spec.zone) map["hall"] = *spec.zone;
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -29,7 +29,7 @@
     s.one_zone = true;
     s.spot = true;
     s.estimate = core::Seconds(240);
-    s.checkpoint = core::Seconds(30);
+    s.checkpoint_interval = core::Seconds(30);
     s.save_time = core::Seconds(4);
     s.deadline = core::Seconds(900);
     return s;
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -65,7 +65,7 @@
     s.spread = true;
     s.spot = true;
     s.estimate = core::Seconds(240);
-    s.checkpoint = core::Seconds(30);
+    s.checkpoint_interval = core::Seconds(30);
     s.save_time = core::Seconds(4);
     s.deadline = core::Seconds(900);
     return s;
@@ -125,8 +125,8 @@
               std::tie(e.need.cpus, e.need.gpus, e.need.memory_gb));
     EXPECT_EQ(std::tie(s.types, s.zone, s.one_zone, s.spread, s.spot),
               std::tie(e.types, e.zone, e.one_zone, e.spread, e.spot));
-    EXPECT_EQ(std::tie(s.estimate, s.checkpoint, s.save_time, s.deadline),
-              std::tie(e.estimate, e.checkpoint, e.save_time, e.deadline));
+    EXPECT_EQ(std::tie(s.estimate, s.checkpoint_interval, s.save_time, s.deadline),
+              std::tie(e.estimate, e.checkpoint_interval, e.save_time, e.deadline));
 }
 
 TEST(Golden, EachKindAndPriority) {
--- a/tests/standin/simulated_cluster.cpp
+++ b/tests/standin/simulated_cluster.cpp
@@ -144,7 +144,7 @@
     for (const auto& command : commands) {
         const bool known = specs_.contains(command.job);
         const double run = known ? run_time_[command.job] : 1;
-        const double save = known && specs_[command.job].checkpoint > Seconds{0}
+        const double save = known && specs_[command.job].checkpoint_interval > Seconds{0}
                                 ? specs_[command.job].save_time.count()
                                 : 0;
         const bool cached = known && agent.images.contains(specs_[command.job].image);
--- a/tests/standin/simulated_cluster_scenario.cpp
+++ b/tests/standin/simulated_cluster_scenario.cpp
@@ -43,7 +43,7 @@
     spec.spread = arguments.yes("spread");
     spec.spot = arguments.yes("spot");
     spec.estimate = Seconds(arguments.number("estimate", arguments.number("run", 10)));
-    spec.checkpoint = Seconds(arguments.number("checkpoint", 0));
+    spec.checkpoint_interval = Seconds(arguments.number("checkpoint", 0));
     spec.save_time = Seconds(arguments.number("save", 0));
     return spec;
 }
