--- a/src/core/cluster/machine_inventory.cpp
+++ b/src/core/cluster/machine_inventory.cpp
@@ -175,9 +175,9 @@
     if (origin == Origin::heartbeat || machine.contact.last_unprompted_at == TimePoint{})
         machine.contact.last_unprompted_at = now;
     machine.contact.has_reported = true;
-    if (heartbeat.notice && !machine.lifecycle.reclaim_at)
-        machine.lifecycle.reclaim_at = later(now, *heartbeat.notice);
-    if (!heartbeat.notice) machine.lifecycle.reclaim_at.reset();
+    if (heartbeat.reclaim_notice && !machine.lifecycle.reclaim_at)
+        machine.lifecycle.reclaim_at = later(now, *heartbeat.reclaim_notice);
+    if (!heartbeat.reclaim_notice) machine.lifecycle.reclaim_at.reset();
 }
 
 void MachineInventory::confirm(Machine& machine, TimePoint now) {
--- a/src/core/model/heartbeat.hpp
+++ b/src/core/model/heartbeat.hpp
@@ -47,8 +47,8 @@
     bool spot = false;
     std::uint64_t agent_epoch = 0;
     std::uint64_t sequence = 0;
-    std::uint64_t fencing_token = 0;  // the highest that the agent has seen
-    std::optional<Seconds> notice;    // spot only: time until the cloud reclaims the machine
+    std::uint64_t fencing_token = 0;        // the highest that the agent has seen
+    std::optional<Seconds> reclaim_notice;  // spot only: time until the cloud reclaims the machine
     std::vector<ReportedTask> tasks;
 };
 
--- a/src/wire/agent_messages.cpp
+++ b/src/wire/agent_messages.cpp
@@ -90,7 +90,7 @@
     heartbeat.agent_epoch = fields.count("shift");
     heartbeat.sequence = fields.count("tick");
     heartbeat.fencing_token = fields.count("baton");
-    if (fields.has("warning_s")) heartbeat.notice = fields.seconds("warning_s");
+    if (fields.has("warning_s")) heartbeat.reclaim_notice = fields.seconds("warning_s");
     for (const auto& task : fields.maps("pieces")) heartbeat.tasks.push_back(read_task(task));
     return heartbeat;
 }
@@ -122,7 +122,7 @@
               {"loaners", heartbeat.spot},    {"shift", heartbeat.agent_epoch},
               {"tick", heartbeat.sequence},   {"baton", heartbeat.fencing_token},
               {"pieces", std::move(pieces)}};
-    if (heartbeat.notice) map["warning_s"] = heartbeat.notice->count();
+    if (heartbeat.reclaim_notice) map["warning_s"] = heartbeat.reclaim_notice->count();
     return to_cbor(map);
 }
 
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -167,9 +167,9 @@
     ASSERT_TRUE(r);
     const auto e = full_report();
     EXPECT_EQ(std::tie(r->machine, r->address, r->type, r->zone, r->spot, r->agent_epoch,
-                       r->sequence, r->fencing_token, r->notice, r->tasks),
+                       r->sequence, r->fencing_token, r->reclaim_notice, r->tasks),
               std::tie(e.machine, e.address, e.type, e.zone, e.spot, e.agent_epoch, e.sequence,
-                       e.fencing_token, e.notice, e.tasks));
+                       e.fencing_token, e.reclaim_notice, e.tasks));
     expect_golden("orders", commands_body(41, all_orders()));
     expect_golden("direct", direct_commands_body({"n-1", "10.1.0.1:9000", 41, 7, all_orders()}));
 }
--- a/tests/standin/simulated_agent.hpp
+++ b/tests/standin/simulated_agent.hpp
@@ -62,7 +62,7 @@
         r.agent_epoch = agent_epoch;
         r.sequence = ++sequence;
         r.fencing_token = fencing_token;
-        if (spot_notice) r.notice = core::Seconds(*spot_notice);
+        if (spot_notice) r.reclaim_notice = core::Seconds(*spot_notice);
         for (const auto& t : tasks)
             r.tasks.push_back({t.job, t.index, t.attempt, t.state, t.cause, t.saved});
         return r;
