--- a/src/agents/agent_command_client.cpp
+++ b/src/agents/agent_command_client.cpp
@@ -14,34 +14,35 @@
 
 namespace {
 
-constexpr int threads = 16;
-constexpr std::chrono::milliseconds call_limit{1500};
+constexpr int sender_threads = 16;
+constexpr std::chrono::milliseconds call_timeout{1500};
 
 struct CallResult {
     core::CommandOutcome outcome = core::CommandOutcome::unknown;
-    std::optional<core::Heartbeat> heartbeat;  // what the agent answered
+    std::optional<core::Heartbeat> heartbeat;  // from the agent's response, if it had one
 };
 
 CallResult call_agent(const core::DirectCommand& command) {
     CallResult result;
     const auto endpoint = io::parse_endpoint(command.address);
     if (!endpoint) return result;
-    io::HttpClient client(*endpoint, call_limit);
-    const auto answer =
+    io::HttpClient client(*endpoint, call_timeout);
+    const auto response =
         client.post(wire::path::direct_commands, wire::direct_commands_body(command));
-    if (!answer) return result;
-    if (answer->status == wire::http_status::ok || answer->status == wire::http_status::conflict)
-        result.heartbeat = wire::parse_heartbeat(answer->body);
-    if (answer->status == wire::http_status::conflict)
+    if (!response) return result;
+    if (response->status == wire::http_status::ok ||
+        response->status == wire::http_status::conflict)
+        result.heartbeat = wire::parse_heartbeat(response->body);
+    if (response->status == wire::http_status::conflict)
         result.outcome = core::CommandOutcome::rejected;
-    if (answer->status == wire::http_status::ok && result.heartbeat)
+    if (response->status == wire::http_status::ok && result.heartbeat)
         result.outcome = core::CommandOutcome::executed;
     return result;
 }
 
-// Whether there may be something to place once this command was called: a machine that has just
-// been fenced, or answered under another agent epoch, has work; one that was ordered to stop tasks
-// may have capacity.
+// Returns whether a placement cycle may find something to place after this command. A machine that
+// has just been fenced, or whose agent responded under another agent epoch, can receive work; a
+// machine that was sent stop commands may have free capacity.
 bool may_allow_placement(const core::DirectCommand& command) {
     return command.commands.empty() ||
            std::any_of(command.commands.begin(), command.commands.end(),
@@ -51,18 +52,18 @@
 }  // namespace
 
 void AgentCommandClient::start() {
-    for (int i = 0; i < threads; ++i) std::thread([this] { run(); }).detach();
+    for (int i = 0; i < sender_threads; ++i) std::thread([this] { run(); }).detach();
 }
 
 void AgentCommandClient::send(core::DirectCommand command) {
     const std::lock_guard lock(mutex_);
     queue_.push_back(std::move(command));
-    wake_.notify_one();
+    queue_not_empty_.notify_one();
 }
 
 core::DirectCommand AgentCommandClient::next_command() {
     std::unique_lock lock(mutex_);
-    wake_.wait(lock, [&] { return !queue_.empty(); });
+    queue_not_empty_.wait(lock, [&] { return !queue_.empty(); });
     auto command = std::move(queue_.front());
     queue_.pop_front();
     return command;
@@ -71,14 +72,15 @@
 void AgentCommandClient::run() {
     using Clock = std::chrono::steady_clock;
     for (;;) {
-        const auto call = next_command();
-        const auto [outcome, heartbeat] = call_agent(call);
+        const auto command = next_command();
+        const auto [outcome, heartbeat] = call_agent(command);
 
         auto access = leader_state_.lock();
-        if (!access.controller() || access.controller()->term() != call.fencing_token) continue;
-        access.controller()->called(call, outcome, heartbeat ? &*heartbeat : nullptr, Clock::now());
+        if (!access.controller() || access.controller()->term() != command.fencing_token) continue;
+        access.controller()->called(command, outcome, heartbeat ? &*heartbeat : nullptr,
+                                    Clock::now());
         access.request_write();
-        if (may_allow_placement(call)) access.request_placement();
+        if (may_allow_placement(command)) access.request_placement();
     }
 }
 
--- a/src/agents/agent_command_client.hpp
+++ b/src/agents/agent_command_client.hpp
@@ -1,8 +1,8 @@
-/// Direct commands to agents, sent by a few threads: an agent that hangs delays only its own
-/// machine.
+/// Client that sends direct commands to agents from a small thread pool, so that an agent that
+/// hangs delays only the commands to its own machine.
 ///
-/// The placement thread queues commands with `send`; the outcome of each is applied to the leader's
-/// records, if this controller still leads under the same term.
+/// The placement thread queues commands with `send`. The outcome of each command is applied to the
+/// leader's records if this controller still leads under the same term.
 #pragma once
 
 #include <condition_variable>
@@ -14,16 +14,16 @@
 
 namespace bendspindle::agents {
 
-/// `start` once; `send` is safe from any thread.
+/// Sender of direct commands. `start` must be called once; `send` is thread-safe.
 class AgentCommandClient {
   public:
-    /// `leader_state` outlives this, and both live until the process ends.
+    /// `leader_state` must outlive this object, and both must live until the process ends.
     explicit AgentCommandClient(state::LeaderState& leader_state) : leader_state_(leader_state) {}
-    /// Starts the threads. They are detached: a call may hang until its time limit, and the end of
-    /// the process does not wait for it.
+    /// Starts the threads. They are detached, because a call may hang until it times out and
+    /// process exit must not wait for it.
     void start();
-    /// Queues a command; does not block on the call. Lock order: may be called while the mutex of
-    /// state::LeaderState is held.
+    /// Queues a command and returns without waiting for the call. May be called while the mutex of
+    /// state::LeaderState is held; that mutex comes first in the lock order.
     void send(core::DirectCommand command);
 
   private:
@@ -31,8 +31,8 @@
     core::DirectCommand next_command();
 
     state::LeaderState& leader_state_;
-    std::mutex mutex_;              // guards `queue_`
-    std::condition_variable wake_;  // `queue_` has got a command
+    std::mutex mutex_;                         // guards `queue_`
+    std::condition_variable queue_not_empty_;  // signals that a command was added to `queue_`
     std::deque<core::DirectCommand> queue_;
 };
 
--- a/src/agents/heartbeat_handler.cpp
+++ b/src/agents/heartbeat_handler.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-const char* name_of(core::TaskCommand::Verb verb) {
+const char* verb_name(core::TaskCommand::Verb verb) {
     switch (verb) {
         case core::TaskCommand::Verb::start:
             return "start";
@@ -24,15 +24,16 @@
     return "";
 }
 
-void log_response(const core::Heartbeat& heartbeat, const core::AgentCounters& before,
-                  const core::AgentCounters& after,
-                  const std::vector<core::TaskCommand>& commands) {
+void log_heartbeat_result(const core::Heartbeat& heartbeat, const core::AgentCounters& before,
+                          const core::AgentCounters& after,
+                          const std::vector<core::TaskCommand>& commands) {
     if (after.lost != before.lost || after.errors != before.errors)
         io::log::debug("heartbeat_showed_failures", "machine", heartbeat.machine, "lost",
                        after.lost - before.lost, "errors", after.errors - before.errors);
     for (const auto& command : commands)
-        io::log::debug("task_command", "machine", heartbeat.machine, "verb", name_of(command.verb),
-                       "job", command.job, "task", command.index, "attempt", command.attempt);
+        io::log::debug("task_command", "machine", heartbeat.machine, "verb",
+                       verb_name(command.verb), "job", command.job, "task", command.index,
+                       "attempt", command.attempt);
 }
 
 }  // namespace
@@ -52,13 +53,13 @@
 
 void HeartbeatHandler::on_elected() {
     const std::lock_guard lock(mutex_);
-    reachability_.begin(clock_());
+    reachability_.reset(clock_());
 }
 
 bool HeartbeatHandler::detect_inbound_unreachable() {
     const std::lock_guard lock(mutex_);
     if (!reachability_.inbound_unreachable(clock_())) return false;
-    reachability_.begin(clock_());
+    reachability_.reset(clock_());
     return true;
 }
 
@@ -69,9 +70,9 @@
     const auto status = leadership_.status();
     if (!status.leading) {
         if (origin == RequestOrigin::peer) return wire::unavailable("another controller acts");
-        return at_follower(*heartbeat, body, status);
+        return handle_as_follower(*heartbeat, body, status);
     }
-    // An agent that knows a newer fencing token would drop the response and stay with this
+    // An agent that knows a newer fencing token would discard the response and keep sending to this
     // controller until its lease has expired.
     if (heartbeat->fencing_token > status.term) {
         leadership_.observe_newer_term(heartbeat->fencing_token);
@@ -81,43 +82,45 @@
         const std::lock_guard lock(mutex_);
         reachability_.record_heartbeat(heartbeat->machine, origin, clock_());
     }
-    return at_leader(*heartbeat, status.term);
+    return handle_as_leader(*heartbeat, status.term);
 }
 
-wire::Response HeartbeatHandler::at_leader(const core::Heartbeat& heartbeat, std::uint64_t term) {
+wire::Response HeartbeatHandler::handle_as_leader(const core::Heartbeat& heartbeat,
+                                                  std::uint64_t term) {
     auto access = leader_state_.lock();
     if (!replication_.may_renew()) return wire::unavailable("another controller may act");
-    // Rule kept: ran_cancelled. Before the records are loaded this controller knows no more than a
-    // follower, and renews no more than one. Each of several leaders that followed each other
-    // quickly used to give every machine another lease, and none of them a stop command.
+    // Invariant ran_cancelled: until the records are loaded, this leader knows no more
+    // cancellations than a follower and renews leases only under the follower's conditions. Without
+    // this check, each of several leaders elected in quick succession renewed the lease of every
+    // machine, and none of them sent a stop command.
     if (!access.controller()) return renew_without_leader(heartbeat, term);
     const auto before = access.controller()->counts();
-    const auto answer = access.controller()->heartbeat(heartbeat, clock_());
-    if (!answer.entitled) return wire::unavailable("another controller acts");
-    log_response(heartbeat, before, access.controller()->counts(), answer.commands);
+    const auto result = access.controller()->heartbeat(heartbeat, clock_());
+    if (!result.entitled) return wire::unavailable("another controller acts");
+    log_heartbeat_result(heartbeat, before, access.controller()->counts(), result.commands);
     access.request_write();
     const bool frees_capacity =
         std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
                     [](const auto& task) { return task.state == core::TaskState::exited; });
     if (frees_capacity) access.request_placement();
-    return {wire::http_status::ok, 0, wire::commands_body(answer.fencing_token, answer.commands)};
+    return {wire::http_status::ok, 0, wire::commands_body(result.fencing_token, result.commands)};
 }
 
-wire::Response HeartbeatHandler::at_follower(const core::Heartbeat& heartbeat,
-                                             const std::string& body,
-                                             const leadership::LeadershipStatus& status) {
+wire::Response HeartbeatHandler::handle_as_follower(const core::Heartbeat& heartbeat,
+                                                    const std::string& body,
+                                                    const leadership::LeadershipStatus& status) {
     if (heartbeat.fencing_token > status.term)
         leadership_.observe_newer_term(heartbeat.fencing_token);
     if (status.leader.empty() || heartbeat.fencing_token > status.term)
         return {wire::http_status::service_unavailable, 0, wire::error_body("no view")};
-    const bool knows_leader = heartbeat.fencing_token == status.term;
+    const bool has_current_token = heartbeat.fencing_token == status.term;
     bool redirect = false;
     {
         const std::lock_guard lock(mutex_);
-        redirect = routing_.should_redirect(heartbeat.machine, knows_leader, clock_());
+        redirect = routing_.should_redirect(heartbeat.machine, has_current_token, clock_());
     }
     if (redirect) return {wire::http_status::misdirected, 0, wire::redirect_body(status.leader)};
-    // The agent cannot reach the leader: its heartbeat is forwarded.
+    // The agent cannot reach the leader, so its heartbeat is forwarded.
     if (auto response = leadership::forward_to_leader(wire::peer::Op::heartbeat, heartbeat.machine,
                                                       body, leadership_, peers_);
         response && response->status == wire::http_status::ok)
@@ -125,17 +128,18 @@
     return renew_without_leader(heartbeat, status.term);
 }
 
-// The fencing token is still the last one known, so the agent may go on; the next leader fences it.
-// Rule kept: ran_cancelled. Without a leader such responses kept tasks running, for as long as an
-// outage lasted, whose cancellation had been confirmed to their users.
+// The response carries the last known fencing token, so the agent keeps its tasks running until the
+// next leader fences it. Invariant ran_cancelled: the renewal is bounded in time and carries stop
+// commands. When it was unbounded, tasks whose cancellation had been confirmed to their users kept
+// running without a leader for as long as the outage lasted.
 wire::Response HeartbeatHandler::renew_without_leader(const core::Heartbeat& heartbeat,
                                                       std::uint64_t term) {
-    const auto stops = replication_.renew_without_leader(heartbeat);
-    if (!stops) return wire::unavailable("nobody is known to act");
-    for (const auto& command : *stops)
+    const auto stop_commands = replication_.renew_without_leader(heartbeat);
+    if (!stop_commands) return wire::unavailable("nobody is known to act");
+    for (const auto& command : *stop_commands)
         io::log::info("cancelled_task_stopped_without_leader", "machine", heartbeat.machine, "job",
                       command.job, "task", command.index);
-    return {wire::http_status::ok, 0, wire::commands_body(term, *stops)};
+    return {wire::http_status::ok, 0, wire::commands_body(term, *stop_commands)};
 }
 
 }  // namespace bendspindle::agents
--- a/src/agents/heartbeat_handler.hpp
+++ b/src/agents/heartbeat_handler.hpp
@@ -1,10 +1,10 @@
-/// Heartbeats of agents: handled by the leader with its records in memory; redirected or forwarded
-/// to the leader by a follower; and answered for a bounded time by a controller that only knows the
-/// cancelled jobs: a follower that cannot reach the leader, or a leader before its records are
-/// loaded.
+/// Handler of agents' heartbeats. The leader processes a heartbeat with its records in memory. A
+/// follower redirects the agent or forwards the heartbeat to the leader. A controller that knows
+/// only the cancelled jobs (a follower that cannot reach the leader, or a leader whose records are
+/// not loaded yet) renews the agent's lease for a bounded time.
 ///
-/// Called by the request threads. What must hold: a lease is renewed only as `leadership` allows,
-/// by the rule ran_cancelled. Calls to peers and the time are passed in.
+/// The request threads call it. Invariant ran_cancelled: a lease is renewed only when the
+/// `leadership` module permits it. The peer client and the clock are injected.
 #pragma once
 
 #include <cstdint>
@@ -22,28 +22,29 @@
 
 namespace bendspindle::agents {
 
-/// Safe from any thread.
+/// Request handler for heartbeats. Thread-safe.
 class HeartbeatHandler {
   public:
-    /// All of these outlive it.
+    /// All objects passed by reference must outlive this one.
     HeartbeatHandler(const core::AgentTimings& timings, state::LeaderState& leader_state,
                      leadership::Leadership& leadership, leadership::Peers& peers,
                      leadership::CancellationReplication& replication,
                      io::ClockFunction clock = io::steady_clock());
 
-    /// The response to a heartbeat as it came over the wire. Blocks while it is forwarded.
+    /// Returns the response to an encoded heartbeat. Blocks while the heartbeat is forwarded to the
+    /// leader.
     wire::Response heartbeat(const std::string& body, RequestOrigin origin);
-    /// This controller has become the leader.
+    /// Resets the reachability check when this controller becomes the leader.
     void on_elected();
-    /// Whether agents lately reach the leader's peers only, and no longer itself. Once true, it
-    /// begins to watch anew.
+    /// Returns whether agents currently reach only the leader's peers and no longer the leader
+    /// itself. Resets the reachability check when it returns true.
     [[nodiscard]] bool detect_inbound_unreachable();
 
   private:
-    wire::Response at_leader(const core::Heartbeat& heartbeat, std::uint64_t term);
-    wire::Response at_follower(const core::Heartbeat& heartbeat, const std::string& body,
-                               const leadership::LeadershipStatus& status);
-    // For a bounded time the agent may go on.
+    wire::Response handle_as_leader(const core::Heartbeat& heartbeat, std::uint64_t term);
+    wire::Response handle_as_follower(const core::Heartbeat& heartbeat, const std::string& body,
+                                      const leadership::LeadershipStatus& status);
+    // Renews the agent's lease for a bounded time without the leader's records.
     wire::Response renew_without_leader(const core::Heartbeat& heartbeat, std::uint64_t term);
 
     state::LeaderState& leader_state_;
@@ -51,8 +52,8 @@
     leadership::Peers& peers_;
     leadership::CancellationReplication& replication_;
     const io::ClockFunction clock_;
-    // Guards `routing_` and `reachability_`; held across no call and not together with another
-    // lock.
+    // Guards `routing_` and `reachability_`. Never held during a call to a peer or together with
+    // another lock.
     std::mutex mutex_;
     HeartbeatRouting routing_;
     LeaderReachability reachability_;
--- a/src/agents/heartbeat_routing.cpp
+++ b/src/agents/heartbeat_routing.cpp
@@ -8,63 +8,67 @@
 
 using core::Seconds;
 
-// An agent back within this time has not reached the leader that it was redirected to.
-constexpr Seconds contact_memory{15};
-// After this long its heartbeats are no longer forwarded; it is redirected again.
-constexpr Seconds redirect_again_after{40};
-// Heartbeats that are forwarded before an agent that knows the leader is redirected.
-constexpr double forwarded_heartbeats = 2.5;
+// An agent that sends another heartbeat here within this time has not reached the leader to which
+// it was redirected; after a longer gap it counts as new.
+constexpr Seconds max_contact_gap{15};
+// Forwarding stops and the agent is redirected again after this time.
+constexpr Seconds redirect_interval{40};
+// Heartbeat intervals for which heartbeats of an agent with the current fencing token are forwarded
+// before it is redirected.
+constexpr double forwarding_intervals = 2.5;
 constexpr std::size_t max_contacts = 4000;
-// The leader is unreachable after so many heartbeat intervals, and at least so long, without an
-// agent that comes by itself, and with so many agents that come through peers.
-constexpr double intervals_without_direct = 2;
-constexpr Seconds min_without_direct{3};
+// The leader counts as unreachable once it has received no direct heartbeat for both of these
+// times (in heartbeat intervals, and as an absolute minimum), while peers have forwarded the
+// heartbeats of at least this many agents.
+constexpr double min_intervals_without_direct = 2;
+constexpr Seconds min_time_without_direct{3};
 constexpr std::size_t min_agents_via_peer = 3;
 
 }  // namespace
 
-// Leases must not expire on the way: all agents of a controller that was cut off from them were
-// redirected to it, waited 4 s for an answer, and lost their tasks
+// Forwards before it redirects, so that leases do not expire during the attempt to reach the
+// leader. When all agents of a controller that they could not reach were redirected to it at once,
+// they waited 4 s for a response and lost their tasks
 // (HeartbeatRouting.AnAgentThatKnowsTheLeaderIsForwardedFirstAndRedirectedOnce).
-bool HeartbeatRouting::should_redirect(const std::string& agent, bool knows_leader,
+bool HeartbeatRouting::should_redirect(const std::string& agent, bool has_current_token,
                                        core::TimePoint now) {
     if (contacts_.size() > max_contacts) contacts_.clear();
     const auto [entry, is_new] = contacts_.try_emplace(agent);
     auto& contact = entry->second;
-    if (is_new || core::between(contact.last, now) > contact_memory)
+    if (is_new || core::between(contact.last, now) > max_contact_gap)
         contact = {now, now, std::nullopt};
     contact.last = now;
-    if (contact.redirected_at && core::between(*contact.redirected_at, now) < redirect_again_after)
+    if (contact.redirected_at && core::between(*contact.redirected_at, now) < redirect_interval)
         return false;
-    if (!contact.redirected_at && knows_leader &&
-        core::between(contact.first, now) < heartbeat_interval_ * forwarded_heartbeats)
+    if (!contact.redirected_at && has_current_token &&
+        core::between(contact.first, now) < heartbeat_interval_ * forwarding_intervals)
         return false;
     contact.redirected_at = now;
     return true;
 }
 
-void LeaderReachability::begin(core::TimePoint now) {
-    any_direct_ = false;
-    last_direct_ = now;
-    via_peer_.clear();
+void LeaderReachability::reset(core::TimePoint now) {
+    direct_heartbeat_received_ = false;
+    last_direct_heartbeat_at_ = now;
+    agents_via_peer_.clear();
 }
 
 void LeaderReachability::record_heartbeat(const std::string& agent, RequestOrigin origin,
                                           core::TimePoint now) {
     if (origin == RequestOrigin::peer) {
-        if (via_peer_.size() < min_agents_via_peer) via_peer_.insert(agent);
+        if (agents_via_peer_.size() < min_agents_via_peer) agents_via_peer_.insert(agent);
         return;
     }
-    any_direct_ = true;
-    last_direct_ = now;
-    via_peer_.clear();
+    direct_heartbeat_received_ = true;
+    last_direct_heartbeat_at_ = now;
+    agents_via_peer_.clear();
 }
 
 bool LeaderReachability::inbound_unreachable(core::TimePoint now) const {
-    const auto tolerated =
-        std::max(heartbeat_interval_ * intervals_without_direct, min_without_direct);
-    return any_direct_ && via_peer_.size() >= min_agents_via_peer &&
-           core::between(last_direct_, now) > tolerated;
+    const auto min_silence =
+        std::max(heartbeat_interval_ * min_intervals_without_direct, min_time_without_direct);
+    return direct_heartbeat_received_ && agents_via_peer_.size() >= min_agents_via_peer &&
+           core::between(last_direct_heartbeat_at_, now) > min_silence;
 }
 
 }  // namespace bendspindle::agents
--- a/src/agents/heartbeat_routing.hpp
+++ b/src/agents/heartbeat_routing.hpp
@@ -1,9 +1,9 @@
-/// Agents and the way to the leader. Pure: the time is passed in. Owned and locked by
-/// `HeartbeatHandler`.
+/// Routing of agents' heartbeats to the leader. These classes do no I/O and take the time as a
+/// parameter. `HeartbeatHandler` owns them and guards them with its mutex.
 ///
-///  - `HeartbeatRouting`, at a follower: whether an agent that sends its heartbeat here is
-///    redirected to the leader, or its heartbeat is forwarded.
-///  - `LeaderReachability`, at the leader: whether agents reach it themselves, or only its peers.
+///  - `HeartbeatRouting`, on a follower, decides whether an agent that sends its heartbeat here is
+///    redirected to the leader or its heartbeat is forwarded.
+///  - `LeaderReachability`, on the leader, detects that agents reach only the leader's peers.
 #pragma once
 
 #include <cstddef>
@@ -17,23 +17,23 @@
 
 namespace bendspindle::agents {
 
-/// Who sent a request to this controller: a user or agent itself, or a peer that forwards it.
+/// Sender of a request to this controller: a user or agent directly, or a peer that forwards it.
 enum class RequestOrigin : std::uint8_t { client, peer };
 
-/// Not thread-safe.
+/// Follower's choice between redirecting an agent and forwarding its heartbeat. Not thread-safe.
 class HeartbeatRouting {
   public:
     /// `heartbeat`: the interval of agents' heartbeats.
     explicit HeartbeatRouting(core::Seconds heartbeat) : heartbeat_interval_(heartbeat) {}
 
-    /// Whether the agent is to be redirected; else its heartbeat is to be forwarded.
-    /// `knows_leader`: it shows the present fencing token, so it has been in touch with the leader
-    /// and comes here all the same.
-    [[nodiscard]] bool should_redirect(const std::string& agent, bool knows_leader,
+    /// Returns whether to redirect the agent to the leader; otherwise its heartbeat is to be
+    /// forwarded. `has_current_token`: the heartbeat carries the current fencing token, so the
+    /// agent has been in contact with the leader and still sends its heartbeats here.
+    [[nodiscard]] bool should_redirect(const std::string& agent, bool has_current_token,
                                        core::TimePoint now);
 
   private:
-    // An agent's heartbeats at this follower, without a longer pause between them.
+    // Series of an agent's heartbeats at this follower without a gap that would make it new.
     struct Contact {
         core::TimePoint first{};
         core::TimePoint last{};
@@ -44,25 +44,25 @@
     std::unordered_map<std::string, Contact> contacts_;
 };
 
-/// Not thread-safe.
+/// Leader's check that agents can reach it. Not thread-safe.
 class LeaderReachability {
   public:
     /// `heartbeat`: the interval of agents' heartbeats.
     explicit LeaderReachability(core::Seconds heartbeat) : heartbeat_interval_(heartbeat) {}
 
-    /// From now on this controller watches anew, as a leader that no agent has reached yet.
-    void begin(core::TimePoint now);
-    /// An agent's heartbeat has reached the leader, by itself or forwarded by a peer.
+    /// Restarts the check at `now`, as for a leader that no agent has reached yet.
+    void reset(core::TimePoint now);
+    /// Records a heartbeat that reached the leader directly or was forwarded by a peer.
     void record_heartbeat(const std::string& agent, RequestOrigin origin, core::TimePoint now);
-    /// Agents reached the leader before, and now they reach only its peers: another leader would
-    /// serve them better.
+    /// Returns whether agents reached the leader directly before and now reach only its peers, so
+    /// that another controller would be a better leader.
     [[nodiscard]] bool inbound_unreachable(core::TimePoint now) const;
 
   private:
     const core::Seconds heartbeat_interval_;
-    bool any_direct_ = false;  // an agent has come by itself since `begin`
-    core::TimePoint last_direct_{};
-    std::set<std::string> via_peer_;  // since the last that came by itself; bounded
+    bool direct_heartbeat_received_ = false;  // since `reset`
+    core::TimePoint last_direct_heartbeat_at_{};
+    std::set<std::string> agents_via_peer_;  // since the last direct heartbeat; bounded
 };
 
 }  // namespace bendspindle::agents
--- a/tests/heartbeat_routing_test.cpp
+++ b/tests/heartbeat_routing_test.cpp
@@ -1,5 +1,5 @@
-// Agents on their way to the leader: when a follower redirects them or forwards their heartbeats,
-// and when the leader is unreachable for them.
+// Tests when a follower redirects an agent to the leader or forwards its heartbeat, and when the
+// leader counts as unreachable for agents.
 #include "agents/heartbeat_routing.hpp"
 
 #include <gtest/gtest.h>
@@ -17,40 +17,41 @@
     EXPECT_TRUE(routing.should_redirect("m1", false, start));
 }
 
-// An agent that comes although it knows the leader cannot reach it. Its heartbeat is forwarded
-// first, so that its lease outlives the attempt to reach the leader again.
+// An agent that sends its heartbeats to a follower although it has the current fencing token cannot
+// reach the leader. Its heartbeats are forwarded first, so that its lease does not expire during
+// the next attempt to reach the leader.
 TEST(HeartbeatRouting, AnAgentThatKnowsTheLeaderIsForwardedFirstAndRedirectedOnce) {
     HeartbeatRouting routing(2s);
     EXPECT_FALSE(routing.should_redirect("m1", true, start));
     EXPECT_FALSE(routing.should_redirect("m1", true, start + 2s));
     EXPECT_TRUE(routing.should_redirect("m1", true, start + 6s));
-    // Back: it could not reach the leader.
+    // The agent returns because it could not reach the leader.
     EXPECT_FALSE(routing.should_redirect("m1", true, start + 12s));
     EXPECT_FALSE(routing.should_redirect("m1", true, start + 24s));
     EXPECT_FALSE(routing.should_redirect("m1", true, start + 36s));
     EXPECT_TRUE(routing.should_redirect("m1", true, start + 46s));
-    // After a long absence it counts as new.
+    // After a long gap the agent counts as new.
     EXPECT_FALSE(routing.should_redirect("m1", true, start + 90s));
 }
 
-TEST(LeaderReachability, IsLostWhenAgentsComeThroughPeersOnly) {
+TEST(LeaderReachability, IsUnreachableWhenHeartbeatsComeThroughPeersOnly) {
     LeaderReachability reachability(2s);
-    reachability.begin(start);
+    reachability.reset(start);
     reachability.record_heartbeat("m1", RequestOrigin::client, start + 1s);
     for (const auto* agent : {"m1", "m2", "m3"})
         reachability.record_heartbeat(agent, RequestOrigin::peer, start + 3s);
-    EXPECT_FALSE(reachability.inbound_unreachable(start + 4s));  // too soon to tell
+    EXPECT_FALSE(reachability.inbound_unreachable(start + 4s));  // not silent for long enough yet
     EXPECT_TRUE(reachability.inbound_unreachable(start + 6s));
     reachability.record_heartbeat("m4", RequestOrigin::client, start + 6s);
-    EXPECT_FALSE(
-        reachability.inbound_unreachable(start + 11s));  // one came by itself, and no others since
+    EXPECT_FALSE(reachability.inbound_unreachable(
+        start + 11s));  // m4 came directly; no forwarded heartbeats since
 }
 
-TEST(LeaderReachability, IsNotLostWithoutAnyAgentOrBeforeTheFirst) {
+TEST(LeaderReachability, IsNotUnreachableBeforeTheFirstDirectHeartbeat) {
     LeaderReachability reachability(2s);
-    reachability.begin(start);
+    reachability.reset(start);
     EXPECT_FALSE(reachability.inbound_unreachable(start + 60s));
-    // No agent has come by itself yet: it is not known that they ever could.
+    // No direct heartbeat yet, so agents may never have been able to reach this controller.
     for (const auto* agent : {"m1", "m2", "m3"})
         reachability.record_heartbeat(agent, RequestOrigin::peer, start + 61s);
     EXPECT_FALSE(reachability.inbound_unreachable(start + 90s));
