--- a/src/leadership/agent_lease_policy.cpp
+++ b/src/leadership/agent_lease_policy.cpp
@@ -11,8 +11,9 @@
 using core::Seconds;
 using core::TimePoint;
 
-// Where a cancellation's deadline is hardly longer than a lease the bound helps little, and a
-// controller must not refuse its agents between two exchanges with its peers.
+// Lower limit for settings whose cancellation deadline is hardly longer than a lease: a controller
+// must not refuse renewals to its agents between two exchanges with its peers, even though the
+// bound then protects the deadline only in part.
 constexpr Seconds min_renewal_bound{4};
 
 }  // namespace
@@ -21,8 +22,8 @@
     return std::max(timings.cancel - timings.lease - confirmation_margin, min_renewal_bound);
 }
 
-std::optional<TimePoint> latest_reached_by(const std::map<std::string, TimePoint>& time_by_peer,
-                                           std::size_t count) {
+std::optional<TimePoint> latest_time_reached_by(
+    const std::map<std::string, TimePoint>& time_by_peer, std::size_t count) {
     std::vector<TimePoint> sorted;
     sorted.reserve(time_by_peer.size());
     for (const auto& [peer, time] : time_by_peer) sorted.push_back(time);
--- a/src/leadership/cancellation_replication.cpp
+++ b/src/leadership/cancellation_replication.cpp
@@ -12,15 +12,16 @@
 
 using std::chrono::milliseconds;
 
-// Statuses between controllers.
+// Response statuses between controllers.
 constexpr int ok = wire::http_status::ok;
 constexpr int not_leading = wire::http_status::misdirected;
-constexpr int knows_no_term = wire::http_status::service_unavailable;
+constexpr int record_unknown = wire::http_status::service_unavailable;
 
 }  // namespace
 
 CancelledJobs cancelled_jobs(const core::Controller& controller) {
-    // A machine that has not shown this term's token may hold what a former leader cancelled.
+    // A machine that has not yet sent this term's fencing token may still run tasks of a job that a
+    // former leader cancelled.
     return {controller.unconfirmed() == 0, controller.jobs_to_end()};
 }
 
@@ -37,19 +38,19 @@
 
 void CancellationReplication::on_elected() {
     const std::lock_guard lock(mutex_);
-    proof_.begin(clock_());
+    proof_.start_term(clock_());
 }
 
-void CancellationReplication::on_deposed(const CancelledJobs& own) {
-    const auto last = snapshot_as_leader(own);
+void CancellationReplication::on_deposed(const CancelledJobs& leader_jobs) {
+    const auto final_snapshot = snapshot_as_leader(leader_jobs);
     const std::lock_guard lock(mutex_);
-    replica_.apply_leader_snapshot(last, clock_());
+    replica_.apply_leader_snapshot(final_snapshot, clock_());
 }
 
 void CancellationReplication::round() {
     if (leadership_.knows_leadership_record()) {
         const std::lock_guard lock(mutex_);
-        replica_.begin(clock_());
+        replica_.start_recording(clock_());
     }
     const auto status = leadership_.status();
     if (!status.leading)
@@ -74,29 +75,30 @@
     return replica_.stop_commands(heartbeat, now);
 }
 
-// Rule kept: ran_cancelled. With the leader that confirmed lost in an outage, no controller knew
-// what to stop. Peers know before the user does, enough of them for any majority to have one that
-// knows (LeadershipProof.ConfirmsWhatEveryMajorityOfTheOthersKnows).
+// Invariant ran_cancelled: peers are informed before the user, enough of them that every
+// majority has a member that knows the cancellation. Otherwise, when the leader that confirmed a
+// cancellation was lost in an outage, no controller knew which tasks to stop
+// (LeadershipProof.ConfirmsWhatEveryMajorityOfTheOthersKnows).
 bool CancellationReplication::replicate_cancellation(const std::string& job, std::uint64_t term) {
     {
         const std::lock_guard lock(mutex_);
         replica_.record_cancellation(job, clock_());
     }
-    const std::set<std::string> all(peers_.names().begin(), peers_.names().end());
+    const std::set<std::string> all_peers(peers_.names().begin(), peers_.names().end());
     std::set<std::string> informed;
-    const auto enough = [&] {
+    const auto may_confirm = [&] {
         const std::lock_guard lock(mutex_);
-        return proof_.may_confirm(informed, all, clock_());
+        return proof_.may_confirm(informed, all_peers, clock_());
     };
     for (const auto& peer : peers_.names()) {
-        if (enough()) return true;
-        const auto answer =
+        if (may_confirm()) return true;
+        const auto response =
             peers_.call_unless_unavailable(peer, {wire::peer::Op::cancelled, term, job, {}});
-        if (!answer) continue;
-        if (answer->term > term) leadership_.observe_newer_term(answer->term);
-        if (answer->status == ok) informed.insert(peer);
+        if (!response) continue;
+        if (response->term > term) leadership_.observe_newer_term(response->term);
+        if (response->status == ok) informed.insert(peer);
     }
-    return enough();
+    return may_confirm();
 }
 
 bool CancellationReplication::acknowledged_by_quorum() const {
@@ -106,9 +108,9 @@
 
 wire::Response CancellationReplication::record_cancellation(const std::string& job,
                                                             std::uint64_t term) {
-    // A controller that has not read the leadership record, or knows a newer term, makes no
-    // promise.
-    if (!leadership_.knows_leadership_record()) return {knows_no_term, 0, {}};
+    // A controller that has not read the leadership record, or knows a newer term, must not
+    // acknowledge the cancellation.
+    if (!leadership_.knows_leadership_record()) return {record_unknown, 0, {}};
     if (term < leadership_.status().term) return {not_leading, 0, {}};
     const std::lock_guard lock(mutex_);
     replica_.record_cancellation(job, clock_());
@@ -116,21 +118,21 @@
 }
 
 wire::Response CancellationReplication::leader_snapshot(const std::string& peer,
-                                                        const CancelledJobs& own) {
-    const auto snapshot = snapshot_as_leader(own);
+                                                        const CancelledJobs& leader_jobs) {
+    const auto snapshot = snapshot_as_leader(leader_jobs);
     const std::lock_guard lock(mutex_);
     proof_.record_snapshot_sent(peer, clock_());
     return {ok, 0, wire::peer::pack(snapshot)};
 }
 
 wire::Response CancellationReplication::follower_snapshot() const {
-    if (!leadership_.knows_leadership_record()) return {knows_no_term, 0, {}};
+    if (!leadership_.knows_leadership_record()) return {record_unknown, 0, {}};
     const std::lock_guard lock(mutex_);
     return {not_leading, 0, wire::peer::pack(replica_.snapshot(clock_()))};
 }
 
 wire::peer::CancellationSnapshot CancellationReplication::snapshot_as_leader(
-    const CancelledJobs& own) const {
+    const CancelledJobs& leader_jobs) const {
     const auto lease_end = leadership_.lease_end();
     const auto now = clock_();
     const std::lock_guard lock(mutex_);
@@ -138,87 +140,90 @@
     wire::peer::CancellationSnapshot out;
     out.age = std::chrono::ceil<milliseconds>(now - proof_.sole_leader_until(lease_end, now));
     out.memory = replicated.memory;
-    out.complete = own.complete;
-    auto cancelled = own.jobs;
+    out.complete = leader_jobs.complete;
+    auto cancelled = leader_jobs.jobs;
     cancelled.insert(replicated.cancelled.begin(), replicated.cancelled.end());
     out.cancelled.assign(cancelled.begin(), cancelled.end());
     return out;
 }
 
-// Announces the term to peers, so that a former leader that the key-value store refuses, or that is
-// slow to notice, steps down before agents lose time with it. Only with a valid lease: peers take
-// the announcement for a sign that the key-value store answers.
+// Announces the term to peers, so that a former leader that cannot use the key-value store, or has
+// not noticed the election yet, steps down before agents lose time with it. Requires a valid lease,
+// because peers take the announcement as evidence that the key-value store is available.
 void CancellationReplication::announce_leadership(const LeadershipStatus& status) {
     for (const auto& peer : peers_.names()) {
-        const auto answer =
+        const auto response =
             peers_.call(peer, {wire::peer::Op::leader_announcement, status.term, name_, {}});
-        if (!answer) continue;
-        if (answer->term > status.term) leadership_.observe_newer_term(answer->term);
+        if (!response) continue;
+        if (response->term > status.term) leadership_.observe_newer_term(response->term);
         const std::lock_guard lock(mutex_);
-        if (answer->term == status.term && leadership_.status().term == status.term)
+        if (response->term == status.term && leadership_.status().term == status.term)
             proof_.record_acknowledgement(peer);
     }
 }
 
-// In an outage of the key-value store no other controller can have been elected; where the store
-// refuses this controller alone, one can, and peers know its term.
+// Without a valid lease the leader asks its peers for their term. During an outage of the key-value
+// store no other controller can have been elected. If the store is unavailable only to this
+// controller, another one can have been elected, and peers know its term.
 void CancellationReplication::request_confirmations(const LeadershipStatus& status) {
-    request_from_followers(status, [this](const auto& peer, const auto&, core::TimePoint asked_at) {
-        const std::lock_guard lock(mutex_);
-        proof_.record_confirmation(peer, asked_at);
-    });
+    request_from_followers(status,
+                           [this](const auto& peer, const auto&, core::TimePoint requested_at) {
+                               const std::lock_guard lock(mutex_);
+                               proof_.record_confirmation(peer, requested_at);
+                           });
 }
 
-// The leader's snapshot, or else those of the followers: with the leader lost in an outage, running
-// tasks go on by what the followers remember together.
+// Requests the leader's snapshot or, if that fails, those of the followers. When the leader is lost
+// in an outage, leases are renewed on the combined knowledge of the followers, so that running
+// tasks continue.
 void CancellationReplication::request_snapshots(const LeadershipStatus& status) {
     if (status.term == 0) return;
     if (!request_leader_snapshot(status)) request_follower_snapshots(status);
 }
 
 bool CancellationReplication::request_leader_snapshot(const LeadershipStatus& status) {
-    if (!peers_.knows(status.leader)) return false;
-    const auto asked_at = clock_();
-    const auto answer =
+    if (!peers_.contains(status.leader)) return false;
+    const auto requested_at = clock_();
+    const auto response =
         peers_.call(status.leader, {wire::peer::Op::cancellation_snapshot, status.term, name_, {}});
-    if (!answer) return false;
-    if (answer->term > status.term) leadership_.observe_newer_term(answer->term);
-    if (answer->status != ok || answer->term != status.term) return false;
-    const auto snapshot = wire::peer::parse_cancellation_snapshot(answer->body);
+    if (!response) return false;
+    if (response->term > status.term) leadership_.observe_newer_term(response->term);
+    if (response->status != ok || response->term != status.term) return false;
+    const auto snapshot = wire::peer::parse_cancellation_snapshot(response->body);
     if (!snapshot) return false;
     const std::lock_guard lock(mutex_);
-    replica_.apply_leader_snapshot(*snapshot, asked_at);
+    replica_.apply_leader_snapshot(*snapshot, requested_at);
     return true;
 }
 
 void CancellationReplication::request_follower_snapshots(const LeadershipStatus& status) {
     request_from_followers(
-        status, [this](const auto& peer, const auto& answer, core::TimePoint asked_at) {
-            const auto snapshot = wire::peer::parse_cancellation_snapshot(answer.body);
+        status, [this](const auto& peer, const auto& response, core::TimePoint requested_at) {
+            const auto snapshot = wire::peer::parse_cancellation_snapshot(response.body);
             if (!snapshot) return;
             const std::lock_guard lock(mutex_);
-            replica_.apply_follower_snapshot(peer, *snapshot, asked_at);
+            replica_.apply_follower_snapshot(peer, *snapshot, requested_at);
         });
 }
 
-// Asks each peer that is not the leader for its snapshot, and steps down for a newer term. An
-// answer counts from when it was asked for.
+// Requests the snapshot of each peer that is not the leader, and steps down if a peer knows a newer
+// term. A response is dated by the time at which its request was sent.
 void CancellationReplication::request_from_followers(const LeadershipStatus& status,
-                                                     const OnAnswer& on_answer) {
+                                                     const OnResponse& on_response) {
     for (const auto& peer : peers_.names()) {
         if (peer == status.leader) continue;
-        const auto asked_at = clock_();
-        const auto answer =
+        const auto requested_at = clock_();
+        const auto response =
             peers_.call(peer, {wire::peer::Op::cancellation_snapshot, status.term, name_, {}});
-        if (!answer) continue;
-        if (answer->term > status.term) {
-            leadership_.learn_leader(answer->term, {});
+        if (!response) continue;
+        if (response->term > status.term) {
+            leadership_.learn_leader(response->term, {});
             return;
         }
-        // A peer that has not read the leadership record since it started may have forgotten a
-        // newer term.
-        if (answer->term != status.term || answer->status == knows_no_term) continue;
-        on_answer(peer, *answer, asked_at);
+        // A peer that has not read the leadership record since its restart may have known a newer
+        // term before.
+        if (response->term != status.term || response->status == record_unknown) continue;
+        on_response(peer, *response, requested_at);
     }
 }
 
--- a/src/leadership/cancellation_replication.hpp
+++ b/src/leadership/cancellation_replication.hpp
@@ -1,16 +1,17 @@
-/// What controllers exchange so that a confirmed cancellation ends its tasks whichever controller
-/// is lost (docs/failure-modes.md, "What a confirmed cancellation needs").
+/// Replication of confirmed cancellations between controllers, so that the tasks of a cancelled job
+/// are stopped whichever controller is lost (docs/failure-modes.md, "What a confirmed cancellation
+/// needs").
 ///
-///  - The leader announces its term to its peers, and each job that it is about to confirm as
-///    cancelled. Once its lease in the key-value store is no longer valid it asks them whether they
+///  - The leader announces its term to its peers, and each job whose cancellation it is about to
+///    confirm. While its lease in the key-value store is not valid, it asks the peers whether they
 ///    know a newer term.
-///  - A follower asks the leader or, with the leader lost, the other followers for the cancelled
-///    jobs.
+///  - A follower requests the cancelled jobs from the leader or, if the leader is lost, from the
+///    other followers.
 ///
-/// From this each controller knows whether it may renew the leases of agents, and which tasks its
-/// responses stop. The decisions are those of `LeadershipProof` and `CancellationReplica`; this
-/// class calls peers and answers them. The daemon's announcing thread calls `round`, request
-/// threads the rest. The time and the calls are passed in.
+/// From these exchanges each controller derives whether it may renew agents' leases and which tasks
+/// its responses stop. `LeadershipProof` and `CancellationReplica` make these decisions; this class
+/// calls peers and responds to them. The daemon's announcing thread calls `round`, request threads
+/// call the other functions. The clock and the peer client are injected.
 #pragma once
 
 #include <cstdint>
@@ -31,73 +32,76 @@
 
 namespace bendspindle::leadership {
 
-/// What the leader's records in memory say of cancelled jobs.
+/// Cancelled jobs according to the leader's records in memory.
 struct CancelledJobs {
-    /// No machine may hold what a former leader cancelled.
+    /// Whether no machine can still run tasks of a job that only a former leader cancelled.
     bool complete = false;
-    /// Those with tasks on machines.
+    /// Cancelled jobs that still have tasks on machines.
     std::set<std::string> jobs;
 };
 
-/// Reads them from the leader's records. The caller holds the lock of the leader's state.
+/// Returns the cancelled jobs in the leader's records. Requires the mutex of state::LeaderState.
 [[nodiscard]] CancelledJobs cancelled_jobs(const core::Controller& controller);
 
-/// Safe from any thread: its mutex is held across no call to a peer.
+/// Exchange of cancellations with peers. Thread-safe; its mutex is never held during a call to a
+/// peer.
 class CancellationReplication {
   public:
-    /// `name`: this controller's. `leadership` and `peers` outlive this.
+    /// `name`: name of this controller. `leadership` and `peers` must outlive this object.
     CancellationReplication(std::string name, const core::AgentTimings& timings,
                             Leadership& leadership, Peers& peers,
                             io::ClockFunction clock = io::steady_clock());
 
-    /// This controller has become the leader.
+    /// Starts a new term when this controller becomes the leader.
     void on_elected();
-    /// It is the leader no more; `own`: what its records say. Rule kept: ran_cancelled. The duty to
-    /// stop cancelled tasks outlives the leadership: what is not proved gone is stopped by this
-    /// controller's responses as a follower.
-    void on_deposed(const CancelledJobs& own);
-    /// Informs or asks the peers; meant to be called once a second. Blocks on calls to peers.
+    /// Retains the cancelled jobs in the records of this controller when it is deposed. Invariant
+    /// ran_cancelled: a controller must stop cancelled tasks beyond its leadership, so its
+    /// responses as a follower stop every task of these jobs that is not proved to have ended.
+    void on_deposed(const CancelledJobs& leader_jobs);
+    /// Performs one exchange with each peer: announcements or requests, depending on the role.
+    /// Intended to be called once a second. Blocks on calls to peers.
     void round();
 
-    /// Whether the leader may renew leases of agents.
+    /// Returns whether the leader may renew agents' leases.
     [[nodiscard]] bool may_renew() const;
-    /// For an agent's heartbeat at a controller without the leader at hand: the stop commands of
-    /// the response, or none if its lease may not be renewed.
+    /// Returns the stop commands for the response to a heartbeat, or nothing if the agent's lease
+    /// must not be renewed. Used by a follower that cannot reach the leader, and by a leader whose
+    /// records are not loaded yet.
     [[nodiscard]] std::optional<std::vector<core::TaskCommand>> renew_without_leader(
         const core::Heartbeat& heartbeat) const;
 
-    /// At the leader: informs peers that a job's cancellation is about to be confirmed. False: too
-    /// few of them know of it, and it must not be confirmed. Blocks on calls to peers.
+    /// Informs peers, on the leader, that the cancellation of a job is about to be confirmed.
+    /// Returns false if too few peers know the cancellation, in which case it must not be
+    /// confirmed. Blocks on calls to peers.
     [[nodiscard]] bool replicate_cancellation(const std::string& job, std::uint64_t term);
-    /// Whether a former leader can no longer find a majority that confirms its term.
+    /// Returns whether a former leader can no longer find a majority that confirms its term.
     [[nodiscard]] bool acknowledged_by_quorum() const;
 
-    /// Response to a leader that announces a cancelled job.
+    /// Records a cancelled job that the leader of `term` announces, and returns the response to it.
     wire::Response record_cancellation(const std::string& job, std::uint64_t term);
-    /// Response of the leader to a peer that asks for the cancelled jobs; `own`: what its records
-    /// say.
-    wire::Response leader_snapshot(const std::string& peer, const CancelledJobs& own);
-    /// Response of a follower to a peer that asks for them.
+    /// Returns the leader's response to a peer that requests the cancelled jobs. `leader_jobs`: the
+    /// cancelled jobs in the leader's records.
+    wire::Response leader_snapshot(const std::string& peer, const CancelledJobs& leader_jobs);
+    /// Returns a follower's response to a peer that requests the cancelled jobs.
     [[nodiscard]] wire::Response follower_snapshot() const;
 
   private:
-    using OnAnswer = std::function<void(const std::string& peer, const wire::peer::Answer&,
-                                        core::TimePoint asked_at)>;
+    using OnResponse = std::function<void(const std::string& peer, const wire::peer::Answer&,
+                                          core::TimePoint requested_at)>;
 
     void announce_leadership(const LeadershipStatus& status);
     void request_confirmations(const LeadershipStatus& status);
     void request_snapshots(const LeadershipStatus& status);
     bool request_leader_snapshot(const LeadershipStatus& status);
     void request_follower_snapshots(const LeadershipStatus& status);
-    void request_from_followers(const LeadershipStatus& status, const OnAnswer& on_answer);
-    wire::peer::CancellationSnapshot snapshot_as_leader(const CancelledJobs& own) const;
+    void request_from_followers(const LeadershipStatus& status, const OnResponse& on_response);
+    wire::peer::CancellationSnapshot snapshot_as_leader(const CancelledJobs& leader_jobs) const;
 
     const std::string name_;
     Leadership& leadership_;
     Peers& peers_;
     const io::ClockFunction clock_;
-    // Guards `proof_` and `replica_`. Taken while the mutex of state::LeaderState is held, never
-    // the other way round.
+    // Guards `proof_` and `replica_`. Lock order: the mutex of state::LeaderState comes first.
     mutable std::mutex mutex_;
     LeadershipProof proof_;
     CancellationReplica replica_;
--- a/src/leadership/election.hpp
+++ b/src/leadership/election.hpp
@@ -1,12 +1,12 @@
-/// Which controller becomes the leader, decided on what the key-value store holds. Pure: no call,
-/// no clock; called by `LeaderElector`.
+/// Election rules: which controller becomes the leader, given the contents of the key-value store.
+/// The functions are pure: they make no calls and read no clock. `LeaderElector` calls them.
 ///
-/// A process that restarts finds the leader key of its former incarnation, whose lease nobody will
-/// renew again. Waiting for that lease to expire was all that stood between the restart and
-/// leading: 3 to 4 s in which nothing new started. So it reclaims the leadership: it puts its own
-/// key over the former one by compare-and-swap, under a newer term, as any follower does once the
-/// key is gone. docs/service-levels.md argues why two processes by one name, a stalled twin and
-/// late writes do no harm.
+/// A process that restarts finds the leader key of its former incarnation, whose lease is no longer
+/// renewed. Waiting for that lease to expire delayed the election by 3 to 4 s, during which no task
+/// was started. The process therefore reclaims the leadership: it replaces the former key with its
+/// own by compare-and-swap, under a newer term, as any follower does once the key has expired.
+/// docs/service-levels.md explains why two processes with the same name, a stalled former
+/// incarnation and late writes are harmless.
 #pragma once
 
 #include <cstdint>
@@ -17,42 +17,44 @@
 
 namespace bendspindle::leadership {
 
-/// The leader key as it was read.
+/// Leader key as read from the key-value store.
 struct LeaderKey {
-    std::string name;                ///< of the controller that wrote it
-    std::uint64_t lease = 0;         ///< that it expires with
-    std::uint64_t mod_revision = 0;  ///< of the key in the store
+    std::string name;                ///< name of the controller that wrote the key
+    std::uint64_t lease = 0;         ///< lease under which the key is stored
+    std::uint64_t mod_revision = 0;  ///< revision of the last change of the key
 };
 
-/// This controller, as the election sees it.
+/// State of this controller that the election rules depend on.
 struct Candidate {
     std::string name;
-    std::uint64_t lease = 0;  ///< its own, valid
-    /// It has neither led nor seen another controller lead: a key by its name can only be of a
-    /// former incarnation.
+    std::uint64_t lease = 0;  ///< this controller's valid lease
+    /// This incarnation has neither led nor seen another controller lead, so a leader key with its
+    /// name belongs to a former incarnation.
     bool just_restarted = false;
-    /// It has yielded already, and no other controller became the leader.
+    /// This controller has already yielded because it kept restarting, and no other controller has
+    /// become the leader since.
     bool yielded = false;
 };
 
-/// What the candidate is to do.
+/// Action that the candidate takes.
 enum class ElectionDecision : std::uint8_t {
-    follow,            ///< another controller leads, or may
-    take,              ///< none does: become the leader
-    reclaim,           ///< become the leader, over the key of the own former incarnation
-    yield_leadership,  ///< it would be elected, but keeps restarting: others go first for a while
+    follow,            ///< another controller is or may be the leader
+    acquire,           ///< there is no leader key: become the leader
+    reclaim,           ///< become the leader by replacing the key of the former incarnation
+    yield_leadership,  ///< leave the election to peers for a while, because it keeps restarting
 };
 
-/// Restarts without progress, one after the other, after which a controller yields.
+/// Number of consecutive restarts without progress after which a controller yields.
 inline constexpr std::uint32_t max_consecutive_restarts = 3;
 
-/// `key`: none if no leader key is held. `record`: none before the very first election.
+/// Returns the action of the candidate `self`. `key` is empty if no leader key exists, `record` if
+/// there has been no election yet.
 [[nodiscard]] ElectionDecision decide_election(const std::optional<LeaderKey>& key,
                                                const std::optional<wire::LeadershipRecord>& record,
                                                const Candidate& self);
 
-/// How many incarnations of the next leader will have been elected one after the other, beyond the
-/// first.
+/// Returns the restart count to store if `self` is elected: how many incarnations of it in a row
+/// have been elected after the first one.
 [[nodiscard]] std::uint32_t next_consecutive_restarts(
     const std::optional<wire::LeadershipRecord>& record, const Candidate& self);
 
--- a/src/leadership/leader_elector.cpp
+++ b/src/leadership/leader_elector.cpp
@@ -15,27 +15,27 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-constexpr milliseconds round_every{500};
-constexpr int max_jitter_ms = 50;  // either way, so that controllers do not call in step
-// Without a change that `watch` has noticed, which usually comes sooner.
-constexpr milliseconds check_every{1000};
-constexpr milliseconds watch_wait{10'000};
-constexpr milliseconds watch_pause{500};
-// Steady clocks run up to 0.05% fast or slow against each other; a little more is allowed for.
-constexpr double drift_allowance = 0.998;
-constexpr milliseconds judgement_margin{150};
+constexpr milliseconds round_interval{500};
+constexpr int max_jitter_ms = 50;  // in both directions; keeps controllers from calling in step
+// Interval of polling. `watch` usually notices a change earlier.
+constexpr milliseconds check_interval{1000};
+constexpr milliseconds watch_timeout{10'000};
+constexpr milliseconds watch_retry_delay{500};
+// Steady clocks drift by up to 0.05% against each other; the factor allows a little more.
+constexpr double clock_drift_factor = 0.998;
+constexpr milliseconds lease_expiry_margin{150};
 constexpr double renewals_per_lease = 4;
-// Beyond the rest of its own lease, with which its leader key expires.
-constexpr milliseconds yield_time{2000};
-// As the revision that a watch goes on from: there is none, the key has to be listed first.
-constexpr std::uint64_t nothing_known = 0;
+// Added to the duration of this controller's lease, after which its leader key has expired.
+constexpr milliseconds yield_margin{2000};
+// Placeholder for the revision to watch from when none is known and the key must be listed first.
+constexpr std::uint64_t no_revision = 0;
 
 std::uint64_t random_incarnation() {
     std::random_device device;
     return (static_cast<std::uint64_t>(device()) << 16) ^ device();
 }
 
-bool surely_revoked(state::StoreStatus status) {
+bool revocation_confirmed(state::StoreStatus status) {
     return status == state::StoreStatus::ok || status == state::StoreStatus::absent;
 }
 
@@ -45,7 +45,7 @@
                              Events events, io::ClockFunction clock)
     : store_(store),
       name_(std::move(name)),
-      lease_time_(lease),
+      lease_duration_(lease),
       events_(std::move(events)),
       clock_(std::move(clock)),
       incarnation_(random_incarnation()),
@@ -58,12 +58,12 @@
 
 bool LeaderElector::lease_valid() const {
     const std::lock_guard lock(mutex_);
-    return lease_.has_value() && clock_() < valid_until_;
+    return lease_.has_value() && clock_() < lease_valid_until_;
 }
 
 LeaderElector::Clock::time_point LeaderElector::lease_end() const {
     const std::lock_guard lock(mutex_);
-    return valid_until_;
+    return lease_valid_until_;
 }
 
 bool LeaderElector::knows_leadership_record() const {
@@ -77,14 +77,14 @@
 }
 
 void LeaderElector::request_check() {
-    check_now_ = true;
-    check_wanted_.notify_one();
+    check_requested_ = true;
+    check_condition_.notify_one();
 }
 
 void LeaderElector::observe_newer_term(std::uint64_t term) {
     const std::lock_guard lock(mutex_);
     if (term <= status_.term) return;
-    leader_key_seen_.reset();
+    seen_leader_key_revision_.reset();
     request_check();
 }
 
@@ -96,7 +96,7 @@
         was_leading = status_.leading;
         status_ = {term, leader, false, 0};
         if (leader.empty()) {
-            leader_key_seen_.reset();
+            seen_leader_key_revision_.reset();
             request_check();
         }
     }
@@ -112,8 +112,8 @@
     {
         const std::lock_guard lock(mutex_);
         lease_.reset();
-        // Given up before its time, another controller may lead at once.
-        valid_until_ = std::min(valid_until_, clock_());
+        // After an early release another controller may lead at once.
+        lease_valid_until_ = std::min(lease_valid_until_, clock_());
         was_leading = status_.leading;
         term = status_.term;
         status_.leading = false;
@@ -125,30 +125,33 @@
 }
 
 void LeaderElector::renew_lease() {
-    const auto sent = clock_();
+    const auto sent_at = clock_();
     std::optional<std::uint64_t> held;
     {
         const std::lock_guard lock(mutex_);
-        if (sent < next_renewal_ || resigned_) return;
+        if (sent_at < next_renewal_ || resigned_) return;
         held = lease_;
     }
     auto lease = held;
     if (!held)
-        lease = leadership_store_.grant_lease(duration_cast<milliseconds>(lease_time_));
+        lease = leadership_store_.grant_lease(duration_cast<milliseconds>(lease_duration_));
     else if (!keep_alive(*held))
         return;
     if (!lease) return;
     const std::lock_guard lock(mutex_);
-    // Given up while it was being renewed.
+    // The lease was released during the renewal.
     if (resigned_ || lease_ != held) return;
     lease_ = lease;
-    // The store counts from when it got the request; from its sending is the safe side.
-    valid_until_ =
-        sent + duration_cast<milliseconds>(lease_time_ * drift_allowance) - judgement_margin;
-    next_renewal_ = sent + duration_cast<milliseconds>(lease_time_ / renewals_per_lease);
+    // The store counts from when it received the request; the time of sending is a safe lower
+    // bound.
+    lease_valid_until_ = sent_at +
+                         duration_cast<milliseconds>(lease_duration_ * clock_drift_factor) -
+                         lease_expiry_margin;
+    next_renewal_ = sent_at + duration_cast<milliseconds>(lease_duration_ / renewals_per_lease);
 }
 
-// Whether the lease was renewed and is still that of the leader key, while leading.
+// Returns whether the lease was renewed and, while leading, the leader key is still this
+// controller's own.
 bool LeaderElector::keep_alive(std::uint64_t lease) {
     const auto outcome = store_.keep_alive(lease);
     if (outcome == state::StoreStatus::absent) {
@@ -156,9 +159,9 @@
         return false;
     }
     if (outcome != state::StoreStatus::ok) return false;
-    // A former incarnation that goes on may keep its lease while another incarnation of its name
-    // has put its own key over the one that the lease was for. Without this check it would answer
-    // users with what it knew for as long as it renews
+    // A former incarnation that resumes may still hold its lease after another incarnation with the
+    // same name has replaced its leader key. Without this check it would answer users with stale
+    // state for as long as it renews the lease
     // (LeaderElectorRestart.AFormerIncarnationThatResumesStepsDownAndReclaimsNothing).
     const auto now = status();
     if (!now.leading) return true;
@@ -168,13 +171,13 @@
     return *owned;
 }
 
-// None if there is nothing to decide on: the key is known already, or the store did not answer, or
-// the record cannot be read.
+// Returns nothing if there is nothing to decide: the leader key has not changed, the store did not
+// respond, or the record is unreadable.
 std::optional<LeaderElector::StoredLeadership> LeaderElector::read_leadership() {
     auto leader = leadership_store_.read_leader_key();
     if (leader.key) {
         const std::lock_guard lock(mutex_);
-        if (leader.key->mod_revision == leader_key_seen_) return std::nullopt;
+        if (leader.key->mod_revision == seen_leader_key_revision_) return std::nullopt;
     } else if (leader.status != state::StoreStatus::absent) {
         return std::nullopt;
     }
@@ -198,9 +201,9 @@
         case ElectionDecision::follow:
             follow(*stored);
             break;
-        case ElectionDecision::take:
+        case ElectionDecision::acquire:
         case ElectionDecision::reclaim:
-            if (!yielding()) become_leader(*stored, self);
+            if (!is_yielding()) become_leader(*stored, self);
             break;
         case ElectionDecision::yield_leadership:
             io::log::error("leadership_yielded", "cause", "consecutive_restarts", "restarts",
@@ -216,21 +219,21 @@
     just_restarted_ = false;
     const std::lock_guard lock(mutex_);
     knows_leadership_record_ = true;
-    if (stored.key) leader_key_seen_ = stored.key->mod_revision;
+    if (stored.key) seen_leader_key_revision_ = stored.key->mod_revision;
     if (stored.record->term >= status_.term) {
         status_.term = stored.record->term;
         status_.leader = stored.record->leader == name_ ? std::string{} : stored.record->leader;
     }
 }
 
-bool LeaderElector::yielding() const {
+bool LeaderElector::is_yielding() const {
     const std::lock_guard lock(mutex_);
     return clock_() < yielding_until_;
 }
 
 void LeaderElector::begin_yielding() {
     const std::lock_guard lock(mutex_);
-    yielding_until_ = clock_() + duration_cast<milliseconds>(lease_time_) + yield_time;
+    yielding_until_ = clock_() + duration_cast<milliseconds>(lease_duration_) + yield_margin;
 }
 
 void LeaderElector::become_leader(const StoredLeadership& stored, const Candidate& self) {
@@ -250,7 +253,7 @@
     events_.on_elected(next.term, cas_result.revision);
 }
 
-// False: the lease that holds the key has been given up meanwhile.
+// Returns false if the lease of the leader key has been released in the meantime.
 bool LeaderElector::record_election(const StoredLeadership& stored, const Candidate& self,
                                     const wire::LeadershipRecord& next,
                                     std::uint64_t leader_key_revision) {
@@ -258,45 +261,47 @@
     if (resigned_ || lease_ != self.lease) return false;
     status_ = {next.term, name_, true, leader_key_revision};
     knows_leadership_record_ = true;
-    leader_key_seen_ = leader_key_revision;
+    seen_leader_key_revision_ = leader_key_revision;
     if (stored.key) {
-        // Set once the former incarnation's lease is revoked.
+        // Replaced by a finite time once the former incarnation's lease is revoked.
         terminal_states_allowed_from_ = Clock::time_point::max();
     } else if (stored.record && stored.record->consecutive_restarts > 0) {
-        // The incarnation before may have ended before it revoked the lease of the one before it.
-        terminal_states_allowed_from_ = clock_() + duration_cast<milliseconds>(lease_time_);
+        // The previous incarnation may have ended before it revoked its predecessor's lease.
+        terminal_states_allowed_from_ = clock_() + duration_cast<milliseconds>(lease_duration_);
     } else {
         terminal_states_allowed_from_ = Clock::time_point{};
     }
-    progress_ = false;
+    made_progress_ = false;
     return true;
 }
 
-// An unanswered compare-and-swap may have made this controller the leader without its knowing, or
-// may still do so. Once its lease is surely revoked neither can last; else the lease must expire.
+// A compare-and-swap without a response may have made this controller the leader, or may still do
+// so. Revoking the lease removes the leader key in both cases; if the revocation is not confirmed,
+// the lease must expire before a new one is requested.
 void LeaderElector::abandon_lease(std::uint64_t lease) {
     step_down("election_unconfirmed");
     const auto revoked = store_.revoke_lease(lease);
     const std::lock_guard lock(mutex_);
-    if (!surely_revoked(revoked))
-        next_renewal_ = clock_() + duration_cast<milliseconds>(lease_time_);
+    if (!revocation_confirmed(revoked))
+        next_renewal_ = clock_() + duration_cast<milliseconds>(lease_duration_);
 }
 
-// Once it is revoked the former incarnation, should it still run, can renew it no more.
+// After the revocation the former incarnation, if it is still running, cannot renew its lease.
 void LeaderElector::revoke_former_lease() {
     if (!former_lease_) return;
-    if (!surely_revoked(store_.revoke_lease(*former_lease_))) return;
+    if (!revocation_confirmed(store_.revoke_lease(*former_lease_))) return;
     former_lease_.reset();
     const std::lock_guard lock(mutex_);
-    terminal_states_allowed_from_ = clock_() + duration_cast<milliseconds>(lease_time_);
+    terminal_states_allowed_from_ = clock_() + duration_cast<milliseconds>(lease_duration_);
 }
 
-// So that the next incarnation's restart is not counted with those that made no progress.
+// Resets the stored count after progress, so that the next restart is not counted together with
+// restarts without progress.
 void LeaderElector::reset_restart_count() {
     const auto now = status();
     {
         const std::lock_guard lock(mutex_);
-        if (!progress_) return;
+        if (!made_progress_) return;
     }
     if (!now.leading || written_record_.consecutive_restarts == 0 ||
         written_record_.term != now.term)
@@ -305,7 +310,8 @@
     settled.consecutive_restarts = 0;
     const auto cas_result = leadership_store_.replace_record(now.leader_key_revision,
                                                              written_record_revision_, settled);
-    // A conflict: this very write was committed unnoticed, or another controller leads.
+    // A conflict means that an earlier attempt of this write was committed without a response, or
+    // that another controller leads.
     if (cas_result.outcome == state::StoreStatus::ok ||
         cas_result.outcome == state::StoreStatus::conflict)
         written_record_ = settled;
@@ -318,7 +324,7 @@
 
 void LeaderElector::made_progress() {
     const std::lock_guard lock(mutex_);
-    progress_ = true;
+    made_progress_ = true;
 }
 
 void LeaderElector::maintain_lease() {
@@ -338,36 +344,37 @@
     auto next_check = clock_();
     for (;;) {
         const bool check_due = clock_() >= next_check;
-        if (check_due) next_check = clock_() + check_every;
+        if (check_due) next_check = clock_() + check_interval;
         maintain_lease();
         if (check_due) check_leadership();
         std::unique_lock lock(mutex_);
-        check_wanted_.wait_for(lock, round_every + milliseconds(jitter_ms(random)),
-                               [&] { return check_now_; });
-        if (std::exchange(check_now_, false)) next_check = clock_();
+        check_condition_.wait_for(lock, round_interval + milliseconds(jitter_ms(random)),
+                                  [&] { return check_requested_; });
+        if (std::exchange(check_requested_, false)) next_check = clock_();
     }
 }
 
-// Polling alone notices an expired lease half its interval late, on average, and no controller
-// would lead for that much longer.
+// With polling alone an expired lease is noticed half a polling interval late on average, and there
+// is no leader during that time.
 void LeaderElector::watch() {
-    std::uint64_t since = nothing_known;  // the revision up to which changes are known
+    std::uint64_t since = no_revision;  // changes up to this revision are known
     for (;;) {
         if (status().leading) {
-            since = nothing_known;
-            std::this_thread::sleep_for(check_every);
+            since = no_revision;
+            std::this_thread::sleep_for(check_interval);
             continue;
         }
-        const auto changes = since == nothing_known
+        const auto changes = since == no_revision
                                  ? store_.list(state::keys::leader)
-                                 : store_.watch(state::keys::leader, since, watch_wait);
+                                 : store_.watch(state::keys::leader, since, watch_timeout);
         if (changes.outcome == state::StoreStatus::ok) since = changes.revision;
-        if (changes.outcome == state::StoreStatus::too_old) since = nothing_known;
+        if (changes.outcome == state::StoreStatus::too_old) since = no_revision;
         {
             const std::lock_guard lock(mutex_);
             request_check();
         }
-        if (changes.outcome != state::StoreStatus::ok) std::this_thread::sleep_for(watch_pause);
+        if (changes.outcome != state::StoreStatus::ok)
+            std::this_thread::sleep_for(watch_retry_delay);
     }
 }
 
@@ -375,7 +382,7 @@
     begin_yielding();
     const auto lease = own_lease();
     step_down("yielded");
-    // Unanswered, the lease expires by itself: nobody renews it.
+    // If the revocation fails, the lease expires because it is no longer renewed.
     if (lease) store_.revoke_lease(*lease);
 }
 
@@ -386,7 +393,7 @@
         resigned_ = true;
         lease = lease_;
     }
-    // First nothing is done or answered any more as the leader, then another may be elected.
+    // This controller must stop acting as the leader before another one can be elected.
     step_down("resigned");
     if (lease) store_.revoke_lease(*lease);
 }
--- a/src/leadership/leader_elector.hpp
+++ b/src/leadership/leader_elector.hpp
@@ -1,9 +1,9 @@
-/// Election and lease: this controller's lease in the key-value store, the leader key and the
-/// leadership record.
+/// Leader election: maintains this controller's lease in the key-value store, the leader key and
+/// the leadership record.
 ///
-/// The daemon runs `run` and `watch` on a thread each; `resign` and `yield_leadership` come from
-/// others. What must hold: this controller leads only while the leader key is its own, and judges
-/// its lease by its own clock, on the safe side.
+/// The daemon runs `run` and `watch` on one thread each; other threads call `resign` and
+/// `yield_leadership`. Invariant: this controller leads only while the leader key is its own, and
+/// it considers its lease expired, by its own clock, no later than the store does.
 #pragma once
 
 #include <chrono>
@@ -24,42 +24,45 @@
 
 namespace bendspindle::leadership {
 
-/// `run`, `round`, `maintain_lease` and `check_leadership` belong to one thread; the rest is safe
-/// from any.
+/// Elector of this controller. `run`, `round`, `maintain_lease` and `check_leadership` must be
+/// called from one thread; the other functions are thread-safe.
 class LeaderElector : public Leadership {
   public:
     using Clock = std::chrono::steady_clock;
 
-    /// Called without the elector's lock, by the thread that noticed the change.
+    /// Callbacks, called by the thread that noticed the change, without the elector's mutex.
     struct Events {
-        /// This controller has become the leader. `leader_key_revision`: the condition of its
-        /// writes.
+        /// Called when this controller becomes the leader. Its writes are conditional on
+        /// `leader_key_revision`.
         std::function<void(std::uint64_t term, std::uint64_t leader_key_revision)> on_elected;
-        /// It leads no more.
+        /// Called when this controller is no longer the leader.
         std::function<void()> on_deposed;
     };
 
-    /// `store` outlives this. `lease`: how long this controller's lease lasts unrenewed.
+    /// `store` must outlive this object. `lease`: duration of this controller's lease without a
+    /// renewal.
     LeaderElector(state::KeyValueStore& store, std::string name, core::Seconds lease, Events events,
                   io::ClockFunction clock = io::steady_clock());
 
-    /// Keeps the lease and checks the leadership, until the process ends.
+    /// Maintains the lease and checks the leadership until the process ends.
     void run();
-    /// Waits for changes of the leader key, so that `run` checks at once; until the process ends.
+    /// Watches the leader key until the process ends and makes `run` check it at once after a
+    /// change.
     void watch();
 
-    /// One round of `run` without its pauses: both of the following.
+    /// Performs one iteration of `run` without its waits: `maintain_lease`, then
+    /// `check_leadership`.
     void round();
-    /// Renews the lease if that is due, and settles what the election left to do: the lease of a
-    /// former incarnation, the count of restarts.
+    /// Renews the lease when that is due, and completes the work that follows an election: revokes
+    /// the lease of a former incarnation and resets the restart count.
     void maintain_lease();
-    /// Reads which controller leads, and becomes the leader if none does.
+    /// Reads which controller leads and becomes the leader if there is none.
     void check_leadership();
 
-    /// Leads no more and revokes the lease, so that another controller is elected at once. For
-    /// good.
+    /// Steps down permanently and revokes the lease, so that another controller is elected at once.
     void resign();
-    /// The same for a while: if no other controller is elected, this one is again.
+    /// Steps down temporarily and revokes the lease. If no other controller is elected meanwhile,
+    /// this one is elected again.
     void yield_leadership();
 
     LeadershipStatus status() const override;
@@ -69,21 +72,21 @@
     void observe_newer_term(std::uint64_t term) override;
     void learn_leader(std::uint64_t term, const std::string& leader) override;
 
-    /// From when on terminal states may be recorded; `max()`: not yet known. After reclaiming the
-    /// leadership, the former incarnation, should it still run, may believe in its lease for as
-    /// long as a lease lasts; what it answers of an open job meanwhile must not be older than a
-    /// terminal state that another controller has answered.
+    /// Returns the time from which terminal states may be recorded, or `max()` if it is not known
+    /// yet. After a reclaimed leadership, a former incarnation that is still running may consider
+    /// its lease valid for up to one lease duration. In that time it may report a job as open,
+    /// which must not follow a terminal state that another controller has already reported.
     Clock::time_point terminal_states_allowed_from() const;
-    /// This controller makes progress as the leader: its next incarnation may reclaim the
-    /// leadership at once.
+    /// Records that this controller makes progress as the leader, so that its next incarnation may
+    /// reclaim the leadership at once.
     void made_progress();
 
   private:
-    // The leader key and the leadership record, read one after the other.
+    // Leader key and leadership record, read one after the other and not atomically.
     struct StoredLeadership {
         std::optional<LeaderKey> key;
         std::optional<wire::LeadershipRecord> record;
-        std::uint64_t record_revision = 0;  // 0 without a record: it must not exist
+        std::uint64_t record_revision = 0;  // 0: the record must not exist when it is written
     };
 
     void renew_lease();
@@ -97,40 +100,42 @@
     void revoke_former_lease();
     void reset_restart_count();
     void step_down(std::string_view cause);
-    bool yielding() const;
+    bool is_yielding() const;
     void begin_yielding();
     std::optional<std::uint64_t> own_lease() const;
-    void request_check();  // needs the lock
+    void request_check();  // requires `mutex_`
 
     state::KeyValueStore& store_;
     const std::string name_;
-    const core::Seconds lease_time_;
+    const core::Seconds lease_duration_;
     const Events events_;
     const io::ClockFunction clock_;
-    const std::uint64_t incarnation_;  // a random number for this process
+    const std::uint64_t incarnation_;  // random, identifies this process
     LeadershipStore leadership_store_;
 
-    // Guards the members up to the next empty line; held across no call out.
+    // Guards the members up to the next empty line. Never held during calls to the store or to
+    // callbacks.
     mutable std::mutex mutex_;
-    std::condition_variable check_wanted_;  // `check_now_` was set
-    bool check_now_ = true;
+    std::condition_variable check_condition_;  // signals that `check_requested_` was set
+    bool check_requested_ = true;
     LeadershipStatus status_;
     std::optional<std::uint64_t> lease_;
-    Clock::time_point valid_until_{};
+    Clock::time_point lease_valid_until_{};
     Clock::time_point next_renewal_{};
     Clock::time_point yielding_until_{};
     Clock::time_point terminal_states_allowed_from_{};
-    // Of the leader key whose leadership record was read: nothing new while it stays.
-    std::optional<std::uint64_t> leader_key_seen_;
+    // Revision of the leader key for which the leadership record has been read. The record is not
+    // read again while the revision is unchanged.
+    std::optional<std::uint64_t> seen_leader_key_revision_;
     bool resigned_ = false;
     bool knows_leadership_record_ = false;
-    bool progress_ = false;
+    bool made_progress_ = false;
 
-    // Of the thread that calls `round`, without a lock.
-    bool just_restarted_ = true;  // until it leads or sees another controller lead
+    // Used only by the thread that calls `round`, without a lock.
+    bool just_restarted_ = true;  // until this incarnation leads or sees another controller lead
     bool yielded_ = false;
-    std::optional<std::uint64_t> former_lease_;  // of a former incarnation, to be revoked
-    wire::LeadershipRecord written_record_;      // as written, while leading
+    std::optional<std::uint64_t> former_lease_;  // lease of a former incarnation, to be revoked
+    wire::LeadershipRecord written_record_;      // last record written while leading
     std::uint64_t written_record_revision_ = 0;
 };
 
--- a/src/leadership/leadership.hpp
+++ b/src/leadership/leadership.hpp
@@ -1,7 +1,7 @@
-/// The leadership of this controller, as the rest of the program reads it: which controller leads,
-/// under which term, and whether this one's own lease in the key-value store is valid.
+/// Interface to the leadership state of this controller: which controller leads, under which term,
+/// and whether this controller's own lease in the key-value store is valid.
 ///
-/// `LeaderElector` implements it; tests and simulations put their own in its place.
+/// `LeaderElector` implements the interface; tests and simulations substitute their own.
 #pragma once
 
 #include <cstdint>
@@ -11,31 +11,33 @@
 
 namespace bendspindle::leadership {
 
-/// What this controller knows of the leadership at one moment.
+/// Snapshot of what this controller knows about the leadership.
 struct LeadershipStatus {
-    std::uint64_t term = 0;  ///< the newest known; 0 before the first leadership record was read
-    std::string leader;      ///< its name, as far as known; empty: no leader is known
-    bool leading = false;    ///< this controller is the leader
-    std::uint64_t leader_key_revision = 0;  ///< while leading: of its leader key, else 0
+    std::uint64_t term = 0;  ///< newest known term; 0 until a leadership record has been read
+    std::string leader;      ///< name of the leader; empty if no leader is known
+    bool leading = false;    ///< whether this controller is the leader
+    std::uint64_t leader_key_revision = 0;  ///< revision of its leader key; 0 unless leading
 };
 
-/// Safe from any thread.
+/// Source of the leadership state. Thread-safe.
 class Leadership {
   public:
     virtual ~Leadership() = default;
-    /// What is known now.
+    /// Returns the current leadership state.
     virtual LeadershipStatus status() const = 0;
-    /// Whether no other controller can lead yet, judged by this one's own clock.
+    /// Returns whether this controller's lease is valid by its own clock, so that no other
+    /// controller can be the leader if this one is.
     virtual bool lease_valid() const = 0;
-    /// Up to when that was or will be so.
+    /// Returns the end of this controller's lease, which may be in the past.
     virtual core::TimePoint lease_end() const = 0;
-    /// Whether this incarnation has read or written the leadership record.
+    /// Returns whether this incarnation has read or written the leadership record.
     virtual bool knows_leadership_record() const = 0;
-    /// There is proof that another controller leads under this term, if it is newer than the one
-    /// known.
+    /// Handles evidence that another controller leads under `term`. Has no effect unless the term
+    /// is newer than the newest known one.
     virtual void observe_newer_term(std::uint64_t term) = 0;
-    /// A peer says which controller leads under this term; empty: it knows only that one does. A
-    /// newer term than the one known ends this controller's own leadership.
+    /// Records a peer's statement that `leader` leads under `term`; an empty name means that the
+    /// peer knows only the term. A term newer than the newest known one ends this controller's own
+    /// leadership.
     virtual void learn_leader(std::uint64_t term, const std::string& leader) = 0;
 };
 
--- a/src/leadership/leadership_proof.hpp
+++ b/src/leadership/leadership_proof.hpp
@@ -1,7 +1,9 @@
-/// What the leader knows about its own leadership from its peers: up to when no other controller
-/// can have confirmed a cancellation, and which peers know what this one confirms.
+/// Leader's evidence from its peers that it is still the only leader: until when no other
+/// controller can have confirmed a cancellation, and which peers know the cancellations that it
+/// confirms.
 ///
-/// Owned and locked by `CancellationReplication`. Pure: the time is passed in, no thread, no call.
+/// `CancellationReplication` owns the object and guards it with its mutex. The class does no I/O,
+/// starts no threads and takes the time as a parameter.
 #pragma once
 
 #include <cstddef>
@@ -14,50 +16,53 @@
 
 namespace bendspindle::leadership {
 
-/// One object serves all terms of a process; `begin` starts a new one. Not thread-safe.
+/// Record of peers' responses under the current term. One object serves all terms of a process;
+/// `start_term` starts a new term. Not thread-safe.
 class LeadershipProof {
   public:
-    /// `controllers`: how many the settings name, this one included.
-    LeadershipProof(const core::AgentTimings& timings, std::size_t controllers)
-        : bound_(renewal_bound(timings)), controllers_(controllers) {}
+    /// `controller_count`: number of controllers in the settings, this one included.
+    LeadershipProof(const core::AgentTimings& timings, std::size_t controller_count)
+        : renewal_bound_(renewal_bound(timings)), controller_count_(controller_count) {}
 
-    /// This controller has been elected. What peers confirmed of an earlier term counts no more.
-    void begin(core::TimePoint now);
+    /// Starts a term in which this controller is the leader and discards all responses of peers
+    /// under earlier terms.
+    void start_term(core::TimePoint now);
 
-    /// A peer that was asked at `asked_at` knows this controller's term, and no newer one.
-    void record_confirmation(const std::string& peer, core::TimePoint asked_at);
+    /// Records that a peer, in response to a request sent at `requested_at`, knows this
+    /// controller's term and no newer one.
+    void record_confirmation(const std::string& peer, core::TimePoint requested_at);
 
-    /// A peer has answered that it knows of this controller's term.
+    /// Records that a peer has acknowledged this controller's term.
     void record_acknowledgement(const std::string& peer) { acknowledged_.insert(peer); }
 
-    /// Whether so many peers know of this term that a former leader can no longer find a majority
-    /// that confirms its own.
+    /// Returns whether enough peers know this term that a former leader can no longer find a
+    /// majority that confirms its own term.
     [[nodiscard]] bool acknowledged_by_quorum() const;
 
-    /// This controller may have sent the peer a cancellation snapshot at `now`.
+    /// Records that this controller may have sent the peer a cancellation snapshot at `now`.
     void record_snapshot_sent(const std::string& peer, core::TimePoint now) {
         snapshot_sent_at_[peer] = now;
     }
 
-    /// Whether a cancellation that the peers in `informed` know of may be confirmed to its user:
-    /// each majority without this controller has a member that knows it, or each of the others has
-    /// had no snapshot for so long that it renews no lease.
+    /// Returns whether a cancellation that the peers in `informed` know may be confirmed to its
+    /// user: every majority without this controller has a member that knows the cancellation, or no
+    /// uninformed peer has received a snapshot recently enough to renew a lease.
     [[nodiscard]] bool may_confirm(const std::set<std::string>& informed,
                                    const std::set<std::string>& peers, core::TimePoint now) const;
 
-    /// Up to when no other controller can have led, as far as is known; never after `now`.
-    /// `lease_end`: of this controller's own lease in the key-value store.
+    /// Returns the latest time, at most `now`, until which it is known that no other controller can
+    /// have led. `lease_end`: end of this controller's own lease in the key-value store.
     [[nodiscard]] core::TimePoint sole_leader_until(core::TimePoint lease_end,
                                                     core::TimePoint now) const;
 
-    /// Whether the leader may renew leases of agents at `now`.
+    /// Returns whether the leader may renew agents' leases at `now`.
     [[nodiscard]] bool may_renew(core::TimePoint lease_end, core::TimePoint now) const;
 
   private:
-    const core::Seconds bound_;
-    const std::size_t controllers_;
-    core::TimePoint began_{};
-    std::map<std::string, core::TimePoint> confirmed_at_;  // by peer: when it was asked
+    const core::Seconds renewal_bound_;
+    const std::size_t controller_count_;
+    core::TimePoint term_started_at_{};
+    std::map<std::string, core::TimePoint> confirmed_at_;  // by peer: when the request was sent
     std::set<std::string> acknowledged_;
     std::map<std::string, core::TimePoint> snapshot_sent_at_;
 };
--- a/src/leadership/leadership_store.cpp
+++ b/src/leadership/leadership_store.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// As the revision in a condition of compare-and-swap: the key must not exist.
+// Revision in a compare-and-swap condition that requires the key not to exist.
 constexpr std::uint64_t key_absent = 0;
 
 }  // namespace
--- a/src/leadership/leadership_store.hpp
+++ b/src/leadership/leadership_store.hpp
@@ -1,9 +1,8 @@
-/// The leadership as it is stored: this controller's lease and own key, the leader key and the
-/// leadership record in the key-value store.
+/// Access to the leadership data in the key-value store: this controller's lease and its own key,
+/// the leader key and the leadership record.
 ///
-/// Used by `LeaderElector` alone, from its thread. Only calls of the store, no decision and no
-/// state: what is read and written here is decided in election.hpp. Each function blocks on the
-/// store.
+/// Only `LeaderElector` uses this class, from its thread. The class calls the store and has no
+/// state of its own; election.hpp decides what to write. Each function blocks on the store.
 #pragma once
 
 #include <chrono>
@@ -17,44 +16,48 @@
 
 namespace bendspindle::leadership {
 
-/// The leader key as the store answered: `ok` with a key, `absent`, or a failure.
+/// Result of reading the leader key: `ok` with a key, `absent`, or a failure status.
 struct LeaderKeyRead {
     state::StoreStatus status = state::StoreStatus::unknown;
     std::optional<LeaderKey> key;
 };
 
-/// The leadership record as the store answered.
+/// Result of reading the leadership record.
 struct LeadershipRecordRead {
     enum class Status : std::uint8_t { found, absent, unreadable, unavailable };
 
     Status status = Status::unavailable;
-    std::optional<wire::LeadershipRecord> record;  ///< if it was found
-    std::uint64_t mod_revision = 0;                ///< 0 if absent: it must not exist to be written
+    std::optional<wire::LeadershipRecord> record;  ///< set if `status` is `found`
+    std::uint64_t mod_revision = 0;  ///< 0 if absent: a write then requires that it does not exist
 };
 
-/// As safe from several threads as the store is.
+/// Store client for the leadership data. As thread-safe as the underlying store.
 class LeadershipStore {
   public:
-    /// `store` outlives this. `name`: this controller's. `incarnation`: of its process.
+    /// `store` must outlive this object. `name`: name of this controller. `incarnation`: identifier
+    /// of its process.
     LeadershipStore(state::KeyValueStore& store, std::string name, std::uint64_t incarnation);
 
-    /// The key that names the leader and expires with its lease.
+    /// Reads the key that names the leader and expires with its lease.
     LeaderKeyRead read_leader_key();
-    /// The record of the newest term.
+    /// Reads the record of the newest term.
     LeadershipRecordRead read_record();
 
-    /// A new lease with this controller's own key under it; none if either failed.
+    /// Requests a new lease and puts this controller's own key under it. Returns nothing if either
+    /// fails.
     std::optional<std::uint64_t> grant_lease(std::chrono::milliseconds time_to_live);
-    /// Whether the leader key is still the one of this revision; none if the store does not answer.
+    /// Returns whether the leader key still has this revision, or nothing if the store does not
+    /// respond.
     std::optional<bool> owns_leader_key(std::uint64_t mod_revision);
 
-    /// Puts this controller's leader key, under the lease, and the record by one compare-and-swap:
-    /// over the former leader key if there is one, so that the key is never gone and no other
-    /// controller is elected without knowing of the former incarnation that may still run.
+    /// Writes this controller's leader key, under the lease, and the record in one
+    /// compare-and-swap. A former leader key is replaced, so that the key is never absent and no
+    /// other controller can be elected without knowing of the former incarnation that may still be
+    /// running.
     state::CasResult write_election(const std::optional<LeaderKey>& former,
                                     std::uint64_t record_revision,
                                     const wire::LeadershipRecord& record, std::uint64_t lease);
-    /// Replaces the record, while the leader key and the record have these revisions.
+    /// Replaces the record if the leader key and the record still have these revisions.
     state::CasResult replace_record(std::uint64_t leader_key_revision,
                                     std::uint64_t record_revision,
                                     const wire::LeadershipRecord& record);
--- a/src/leadership/peer_sockets.cpp
+++ b/src/leadership/peer_sockets.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds call_limit{1500};
+constexpr std::chrono::milliseconds call_timeout{1500};
 
 }  // namespace
 
@@ -27,7 +27,7 @@
     using Clients = std::map<std::string, io::PeerClient>;
     const auto clients = std::make_shared<Clients>();
     for (const auto& peer : settings.peers)
-        clients->try_emplace(peer.name, peer.endpoint, call_limit);
+        clients->try_emplace(peer.name, peer.endpoint, call_timeout);
     return [clients](const std::string& name, const wire::peer::Request& request) {
         return clients->at(name).call(request);
     };
--- a/src/leadership/peer_sockets.hpp
+++ b/src/leadership/peer_sockets.hpp
@@ -1,5 +1,5 @@
-/// The peers that the settings name, and calls to them over sockets. The daemon makes its `Peers`
-/// from these; nothing else depends on settings or sockets here.
+/// Peer names from the settings, and the socket transport for calls to peers. The daemon constructs
+/// its `Peers` from these; nothing else in this folder depends on settings or sockets.
 #pragma once
 
 #include <string>
@@ -10,11 +10,11 @@
 
 namespace bendspindle::leadership {
 
-/// The names of the peers in the settings, sorted, each once.
+/// Returns the names of the peers in the settings, sorted and without duplicates.
 [[nodiscard]] std::vector<std::string> peer_names(const config::Settings& settings);
 
-/// Calls over sockets, to the addresses in the settings, each with a time limit of 1.5 s. Safe from
-/// any thread.
+/// Returns a function that calls peers over sockets, at the addresses in the settings, with a
+/// timeout of 1.5 s for each call. The function is thread-safe.
 [[nodiscard]] Peers::Link socket_link(const config::Settings& settings);
 
 }  // namespace bendspindle::leadership
--- a/src/leadership/peers.cpp
+++ b/src/leadership/peers.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// How long a peer that did not answer is not called for users and agents.
-constexpr std::chrono::milliseconds breaker_open_for{1000};
+// Time for which a peer that did not respond is not called on behalf of users and agents.
+constexpr std::chrono::milliseconds breaker_open_duration{1000};
 
 }  // namespace
 
@@ -17,9 +17,9 @@
     : names_(std::move(names)),
       link_(std::move(link)),
       clock_(std::move(clock)),
-      breaker_(breaker_open_for) {}
+      breaker_(breaker_open_duration) {}
 
-bool Peers::knows(const std::string& name) const {
+bool Peers::contains(const std::string& name) const {
     return std::find(names_.begin(), names_.end(), name) != names_.end();
 }
 
@@ -52,7 +52,7 @@
                                                 const std::string& body, Leadership& leadership,
                                                 Peers& peers) {
     const auto status = leadership.status();
-    if (!peers.knows(status.leader)) return std::nullopt;
+    if (!peers.contains(status.leader)) return std::nullopt;
     const auto answer = peers.call_unless_unavailable(status.leader, {op, status.term, id, body});
     if (!answer) return std::nullopt;
     if (answer->term > status.term) leadership.observe_newer_term(answer->term);
--- a/src/leadership/peers.hpp
+++ b/src/leadership/peers.hpp
@@ -1,8 +1,8 @@
-/// The other controllers: calls to them, with a circuit breaker for user and agent requests, and
-/// when one was last in contact.
+/// Client for the other controllers. It has a circuit breaker for requests of users and agents, and
+/// records when a peer was last in contact.
 ///
-/// Used by request threads and by the daemon's announcing thread. How a call goes out is passed in:
-/// sockets (peer_sockets.hpp) or a simulation.
+/// Request threads and the daemon's announcing thread use it. The transport is injected: sockets
+/// (peer_sockets.hpp) or a simulation.
 #pragma once
 
 #include <atomic>
@@ -20,35 +20,36 @@
 
 namespace bendspindle::leadership {
 
-/// Safe from any thread; calls block until the peer answers or the link's time limit is over.
+/// Peer client. Thread-safe; calls block until the peer responds or the transport times out.
 class Peers {
   public:
-    /// Calls one peer by its name; none: no answer, the peer may have handled the request all the
-    /// same.
+    /// Transport: calls one peer by its name. Returns nothing if there was no response, in which
+    /// case the peer may still have handled the request.
     using Link = std::function<std::optional<wire::peer::Answer>(const std::string& name,
                                                                  const wire::peer::Request&)>;
 
-    /// `names`: of the other controllers, in the order in which they are called.
+    /// `names`: names of the other controllers, in the order in which they are called.
     Peers(std::vector<std::string> names, Link link, io::ClockFunction clock = io::steady_clock());
 
-    /// The peers, in order.
+    /// Returns the names of the peers in the order in which they are called.
     [[nodiscard]] const std::vector<std::string>& names() const { return names_; }
-    /// Whether a controller of this name is a peer.
-    [[nodiscard]] bool knows(const std::string& name) const;
+    /// Returns whether a controller with this name is a peer.
+    [[nodiscard]] bool contains(const std::string& name) const;
 
-    /// Calls a peer, whatever its circuit breaker says; none: no answer.
+    /// Calls a peer regardless of its circuit breaker. Returns nothing if there was no response.
     std::optional<wire::peer::Answer> call(const std::string& name,
                                            const wire::peer::Request& request);
 
-    /// The same, but without a call while the peer's circuit breaker is open. Without the breaker
-    /// all threads waited for a peer that had stalled: each poll for 1.5 s, while connections piled
-    /// up until no socket was left.
+    /// Calls a peer unless its circuit breaker is open. Returns nothing if the breaker is open or
+    /// there was no response. Without the breaker, all threads waited for a stalled peer: each poll
+    /// took 1.5 s, and connections accumulated until no sockets were left.
     std::optional<wire::peer::Answer> call_unless_unavailable(const std::string& name,
                                                               const wire::peer::Request& request);
 
-    /// A peer has called this controller.
+    /// Records that a peer has called this controller.
     void was_called() { last_contact_ = clock_(); }
-    /// When a peer last answered a call or made one; the epoch of the clock if none ever did.
+    /// Returns when a peer last responded to a call or made one, or the clock's epoch if there was
+    /// no contact yet.
     [[nodiscard]] core::TimePoint last_contact() const { return last_contact_.load(); }
 
   private:
@@ -59,12 +60,12 @@
     const Link link_;
     const io::ClockFunction clock_;
     std::atomic<core::TimePoint> last_contact_{core::TimePoint{}};
-    std::mutex breaker_mutex_;  // guards `breaker_`; held across no call
+    std::mutex breaker_mutex_;  // guards `breaker_`; never held during a call
     CircuitBreaker breaker_;
 };
 
-/// Forwards a user's or agent's request to the leader; none if no leader is known, or it does not
-/// answer, or its circuit breaker is open.
+/// Forwards the request of a user or agent to the leader. Returns nothing if no leader is known,
+/// the leader does not respond, or its circuit breaker is open.
 std::optional<wire::Response> forward_to_leader(wire::peer::Op op, const std::string& id,
                                                 const std::string& body, Leadership& leadership,
                                                 Peers& peers);
--- a/tests/agent_lease_policy_test.cpp
+++ b/tests/agent_lease_policy_test.cpp
@@ -1,5 +1,6 @@
-// Whether a controller may renew agents' leases after it lost contact with the key-value store or
-// with the leader, and when cancellations may be confirmed meanwhile. Rule: ran_cancelled.
+// Tests whether a controller may renew agents' leases after it lost contact with the key-value
+// store or the leader, and when cancellations may be confirmed in that state. Invariant:
+// ran_cancelled.
 #include "leadership/agent_lease_policy.hpp"
 
 #include <gtest/gtest.h>
@@ -20,7 +21,7 @@
     return out;
 }
 
-// A heartbeat with a running and an exited task of the job.
+// Returns a heartbeat with a running and an exited task of the job.
 core::Heartbeat heartbeat_with_tasks_of(const std::string& job) {
     core::Heartbeat out;
     out.machine = "m1";
@@ -29,7 +30,7 @@
     return out;
 }
 
-// A leader's snapshot that was up to date `age` before it was asked for.
+// Returns a leader's snapshot that was complete `age` before it was requested.
 wire::peer::CancellationSnapshot complete_snapshot(core::Seconds age,
                                                    std::vector<std::string> jobs = {}) {
     return {std::chrono::duration_cast<std::chrono::milliseconds>(age), 0s, true, std::move(jobs)};
@@ -39,14 +40,14 @@
     return {0s, 0s, false, std::move(jobs)};
 }
 
-// The snapshot of a follower that has kept cancellations for so long.
-wire::peer::CancellationSnapshot follower_snapshot(core::Seconds memory,
+// Returns the snapshot of a follower that has retained cancellations for `retained_for`.
+wire::peer::CancellationSnapshot follower_snapshot(core::Seconds retained_for,
                                                    std::vector<std::string> jobs = {}) {
-    return {0s, std::chrono::duration_cast<std::chrono::milliseconds>(memory), true,
+    return {0s, std::chrono::duration_cast<std::chrono::milliseconds>(retained_for), true,
             std::move(jobs)};
 }
 
-// The last lease to be renewed expires before the cancellation's deadline.
+// The last renewal must expire before the deadline of the cancellation.
 TEST(AgentLeasePolicy, ALeaseRenewedWithinTheBoundExpiresBeforeTheDeadline) {
     const auto bound = renewal_bound(timings());
     EXPECT_GT(bound, 10s);
@@ -55,7 +56,7 @@
 
 TEST(LeadershipProof, HoldsForItsBoundBeyondItsOwnLease) {
     LeadershipProof proof(timings(), 3);
-    proof.begin(start);
+    proof.start_term(start);
     const auto bound = renewal_bound(timings());
 
     EXPECT_TRUE(proof.may_renew(start + 4s, start));
@@ -63,10 +64,11 @@
     EXPECT_FALSE(proof.may_renew(start, core::later(start, bound + 1s)));
 }
 
-// In an outage for all: running tasks outlive it as long as a majority knows of no newer term.
+// During an outage that affects all controllers, running tasks continue as long as a majority knows
+// no newer term.
 TEST(LeadershipProof, HoldsThroughAnOutageWhileAMajorityConfirms) {
     LeadershipProof proof(timings(), 5);
-    proof.begin(start);
+    proof.start_term(start);
     const auto late = start + 300s;
 
     proof.record_confirmation("b", late);
@@ -76,7 +78,7 @@
     EXPECT_TRUE(proof.may_renew(start, late));
     EXPECT_EQ(proof.sole_leader_until(start, late), late - 10s);
     EXPECT_FALSE(proof.may_renew(start, late + 60s));
-    proof.begin(start);
+    proof.start_term(start);
     EXPECT_FALSE(proof.may_renew(start, late));
 }
 
@@ -87,23 +89,23 @@
     EXPECT_TRUE(proof.acknowledged_by_quorum());
 }
 
-// Whoever acknowledged a new term is among any majority that could confirm the former leader's, for
-// every number of controllers.
+// For every number of controllers, each majority that could confirm the former leader's term
+// contains a controller that has acknowledged the new term.
 TEST(LeadershipProof, AcknowledgementsIntersectEveryMajority) {
     for (unsigned n = 2; n <= 7; ++n) {
-        // Bit 0: the new leader, which acknowledges itself. Bit 1: the former one.
+        // Bit 0: the new leader, which knows its own term. Bit 1: the former leader.
         for (unsigned informed = 0; informed < 1U << n; ++informed) {
-            // It informed itself; the former leader, once informed, leads no more.
+            // The new leader is always informed; a former leader that is informed has stepped down.
             if (!(informed & 1U) || (informed & 2U)) continue;
             LeadershipProof proof(timings(), n);
-            proof.begin(start);
+            proof.start_term(start);
             for (unsigned i = 2; i < n; ++i)
                 if (informed >> i & 1U) proof.record_acknowledgement(std::to_string(i));
             if (!proof.acknowledged_by_quorum()) continue;
             for (unsigned confirming = 0; confirming < 1U << n; ++confirming) {
                 if (!(confirming & 2U)) continue;
                 LeadershipProof former(timings(), n);
-                former.begin(start);
+                former.start_term(start);
                 for (unsigned i = 0; i < n; ++i)
                     if (i != 1 && (confirming >> i & 1U))
                         former.record_confirmation(std::to_string(i), start);
@@ -115,10 +117,11 @@
     }
 }
 
-// And no more are asked for than that: the loss of one of three delays no cancellation.
+// The quorum must not be larger than necessary: with three controllers, the loss of one must not
+// delay a cancellation.
 TEST(LeadershipProof, QuorumOfThreeToleratesTheLossOfOne) {
     LeadershipProof proof(timings(), 3);
-    proof.begin(start);
+    proof.start_term(start);
     EXPECT_FALSE(proof.acknowledged_by_quorum());
 
     proof.record_acknowledgement("c");
@@ -135,13 +138,13 @@
     const auto until = core::later(start - 2s, renewal_bound(timings()));
     EXPECT_TRUE(replica.may_renew(until));
     EXPECT_FALSE(replica.may_renew(until + 1ms));
-    // An older snapshot takes nothing back.
+    // An older snapshot does not shorten the bound.
     replica.apply_leader_snapshot(complete_snapshot(60s), start + 1s);
     EXPECT_TRUE(replica.may_renew(until));
 }
 
-// Where machines have not shown the fencing token, a former leader's cancellations may be among
-// them.
+// A machine that has not sent the current fencing token may run tasks of a job that a former leader
+// cancelled.
 TEST(CancellationReplica, AnIncompleteSnapshotStopsTasksButDoesNotRenew) {
     CancellationReplica replica(timings(), 3);
 
@@ -151,10 +154,10 @@
     EXPECT_EQ(replica.stop_commands(heartbeat_with_tasks_of("job-1"), start).size(), 1U);
 }
 
-TEST(CancellationReplica, StopsRunningTasksOfCancelledJobsAtOnceAndForgetsThemInTime) {
+TEST(CancellationReplica, StopsRunningTasksOfCancelledJobsWithoutGraceUntilTheyExpire) {
     CancellationReplica replica(timings(), 3);
     replica.apply_leader_snapshot(complete_snapshot(0s, {"job-1"}), start);
-    // Over, as far as the leader knows.
+    // The leader's next snapshot no longer contains the job.
     replica.apply_leader_snapshot(complete_snapshot(0s), start + 1s);
 
     const auto stops = replica.stop_commands(heartbeat_with_tasks_of("job-1"), start + 10s);
@@ -168,30 +171,32 @@
     EXPECT_TRUE(replica.stop_commands(heartbeat_with_tasks_of("job-1"), start + 101s).empty());
 }
 
-// With the leader lost in an outage: two of three remember together what was confirmed.
-TEST(CancellationReplica, AMajorityThatRemembersReplacesALostLeader) {
+// When the leader is lost in an outage, two of three controllers together know every confirmed
+// cancellation.
+TEST(CancellationReplica, FollowerSnapshotsOfAMajorityReplaceALostLeader) {
     CancellationReplica replica(timings(), 3);
-    replica.begin(start);
+    replica.start_recording(start);
     const auto late = start + 200s;
     EXPECT_FALSE(replica.may_renew(late));
 
     replica.apply_follower_snapshot("c", follower_snapshot(40s), late);
-    EXPECT_FALSE(replica.may_renew(late)) << "a cancellation may be older than its memory";
+    EXPECT_FALSE(replica.may_renew(late))
+        << "a cancellation may be older than the follower's retention";
     replica.apply_follower_snapshot("c", follower_snapshot(60s, {"job-1"}), late);
 
     EXPECT_TRUE(replica.may_renew(late));
     EXPECT_EQ(replica.stop_commands(heartbeat_with_tasks_of("job-1"), late).size(), 1U);
     EXPECT_TRUE(replica.snapshot(late).cancelled.empty())
-        << "passed on, it would never be forgotten";
+        << "a job from a follower would never be removed if it were passed on";
     EXPECT_FALSE(replica.may_renew(late + 30s));
 }
 
-TEST(CancellationReplica, AControllerThatHasJustStartedRemembersNothing) {
+TEST(CancellationReplica, AControllerThatHasJustStartedDoesNotRenew) {
     CancellationReplica replica(timings(), 3);
     replica.apply_follower_snapshot("c", follower_snapshot(60s), start);
     EXPECT_FALSE(replica.may_renew(start)) << "has not read the leadership record";
 
-    replica.begin(start);
+    replica.start_recording(start);
     replica.apply_follower_snapshot("c", follower_snapshot(60s), start + 10s);
     EXPECT_FALSE(replica.may_renew(start + 10s));
     replica.apply_follower_snapshot("c", follower_snapshot(60s), start + 60s);
@@ -200,7 +205,7 @@
 
 TEST(CancellationReplica, TwoOfFiveAreNoMajority) {
     CancellationReplica replica(timings(), 5);
-    replica.begin(start - 100s);
+    replica.start_recording(start - 100s);
 
     replica.apply_follower_snapshot("c", follower_snapshot(60s), start);
     EXPECT_FALSE(replica.may_renew(start));
@@ -208,9 +213,9 @@
     EXPECT_TRUE(replica.may_renew(start));
 }
 
-TEST(CancellationReplica, PassesRecordedCancellationsOnUntilTheyAreForgotten) {
+TEST(CancellationReplica, SnapshotContainsRecordedCancellationsUntilTheyExpire) {
     CancellationReplica replica(timings(), 3);
-    replica.begin(start);
+    replica.start_recording(start);
 
     replica.record_cancellation("job-1", start);
 
@@ -219,18 +224,18 @@
     EXPECT_TRUE(replica.snapshot(start + 101s).cancelled.empty());
 }
 
-// For every number of controllers: with the leader that confirmed lost, any majority of the others
-// has one that was informed; and no more than that are waited for.
+// For every number of controllers, a cancellation is confirmed as soon as each majority without the
+// confirming leader has an informed member, and no earlier.
 TEST(LeadershipProof, ConfirmsWhatEveryMajorityOfTheOthersKnows) {
     for (std::size_t n = 1; n <= 7; ++n) {
         std::set<std::string> peers;
         for (std::size_t i = 1; i < n; ++i) peers.insert(std::to_string(i));
         LeadershipProof proof(timings(), n);
-        proof.begin(start);
+        proof.start_term(start);
         std::set<std::string> informed;
         for (const auto& name : peers) {
             const bool some_majority_lacks_it =
-                peers.size() - informed.size() >= peers_of_a_majority(n) + 1;
+                peers.size() - informed.size() >= peers_for_majority(n) + 1;
             EXPECT_EQ(proof.may_confirm(informed, peers, start), !some_majority_lacks_it)
                 << informed.size() << " of " << n;
             informed.insert(name);
@@ -239,10 +244,10 @@
     }
 }
 
-// Peers that cannot be informed delay a cancellation for a bounded time.
+// Peers that cannot be informed delay the confirmation of a cancellation only for a bounded time.
 TEST(LeadershipProof, ConfirmsOnceUninformedPeersCanRenewNothing) {
     LeadershipProof proof(timings(), 3);
-    proof.begin(start);
+    proof.start_term(start);
     const std::set<std::string> peers{"b", "c"};
     EXPECT_FALSE(proof.may_confirm({}, peers, start + 10s));
 
--- a/tests/leader_elector_test.cpp
+++ b/tests/leader_elector_test.cpp
@@ -1,6 +1,6 @@
-// Election against a stand-in of the key-value store: incarnations of one name that follow each
-// other at once, that overlap, that keep restarting. Each incarnation is one object; one whose
-// rounds are no longer called has ended or is stalled.
+// Tests the election against a stand-in for the key-value store, with incarnations of one
+// controller that follow each other immediately, overlap or keep restarting. Each incarnation is
+// one `LeaderElector`; an incarnation whose `round` is no longer called has ended or is stalled.
 #include "leadership/leader_elector.hpp"
 
 #include <gtest/gtest.h>
@@ -27,7 +27,7 @@
             store_, name, lease,
             LeaderElector::Events{[](std::uint64_t, std::uint64_t) {}, [this] { ++deposed_; }});
     }
-    // An incarnation that has started and made its first round.
+    // Returns an incarnation that has completed its first round.
     std::unique_ptr<LeaderElector> started(const std::string& name, core::Seconds lease = 60s) {
         auto out = incarnation(name, lease);
         out->round();
@@ -43,8 +43,8 @@
     int deposed_ = 0;
 };
 
-// Controllers of other versions read the same keys in the key-value store: their names and fields
-// stay, and so does which of them end with the leader's lease.
+// Controllers of other versions read the same keys in the key-value store, so their names and
+// fields must not change, nor which of them expire with the leader's lease.
 TEST_F(LeaderElectorRestart, TheKeysOfALeaderKeepTheirNamesAndFields) {
     const auto leader = started("a");
     ASSERT_TRUE(leader->status().leading);
@@ -67,12 +67,12 @@
     EXPECT_LE(first->terminal_states_allowed_from(), Clock::now());
     const auto peer = started("b");
     EXPECT_FALSE(peer->status().leading);
-    // The first one's lease still has a minute.
+    // The lease of the first incarnation is still valid for a minute.
     const auto second = started("a");
     EXPECT_TRUE(second->status().leading);
     EXPECT_EQ(second->status().term, 2U);
-    // No terminal state is answered before a former incarnation that goes on must have stopped
-    // answering.
+    // Terminal states are held back until a former incarnation that is still running must have
+    // stopped responding to users.
     EXPECT_EQ(second->terminal_states_allowed_from(), Clock::time_point::max());
     second->maintain_lease();
     EXPECT_LT(second->terminal_states_allowed_from(), Clock::time_point::max());
@@ -80,7 +80,7 @@
     EXPECT_TRUE(second->status().leading);
 }
 
-// A leader that agents cannot reach yields to a peer, and is elected again if no peer can be.
+// A leader that agents cannot reach yields to a peer, and is elected again if no peer is elected.
 TEST_F(LeaderElectorRestart, ALeaderThatYieldsLetsAPeerLeadAndLeadsAgainIfNoneDoes) {
     const auto first = started("a", 1s);
     const auto peer = started("b", 1s);
@@ -88,12 +88,12 @@
     EXPECT_FALSE(first->status().leading);
     EXPECT_FALSE(first->lease_valid());
     EXPECT_EQ(deposed_, 1);
-    first->round();  // it is still yielding
+    first->round();  // no election, it is still yielding
     EXPECT_FALSE(first->status().leading);
     peer->round();
     EXPECT_TRUE(peer->status().leading);
     EXPECT_EQ(peer->status().term, 2U);
-    // Without another candidate it is elected once its time of yielding is over.
+    // Without another candidate it is elected once its yield period has ended.
     peer->yield_leadership();
     const auto until = Clock::now() + 10s;
     while (!first->status().leading && Clock::now() < until) {
@@ -107,7 +107,7 @@
     const auto former = started("a", 1s);
     const auto current = started("a", 60s);
     ASSERT_TRUE(current->status().leading);
-    // Its lease has not been revoked yet: it steps down because the leader key is another's.
+    // Its lease has not been revoked yet; it steps down because the leader key was replaced.
     std::this_thread::sleep_for(300ms);
     former->round();
     EXPECT_FALSE(former->status().leading);
@@ -169,7 +169,7 @@
     EXPECT_TRUE(peer->status().leading);
     EXPECT_FALSE(next->status().leading);
     EXPECT_EQ(recorded_restarts(), 0U);
-    // The incarnation before had no time to revoke the lease of the one before it.
+    // The previous incarnation ended before it revoked its predecessor's lease.
     EXPECT_GT(peer->terminal_states_allowed_from(), Clock::now());
 }
 
