--- a/src/daemon/announcements.cpp
+++ b/src/daemon/announcements.cpp
@@ -20,7 +20,7 @@
 
 void Announcements::run() {
     for (;;) {
-        replication_.round();
+        replication_.exchange_with_peers();
         if (elector_.status().leading) yield_if_unreachable();
         std::this_thread::sleep_for(interval);
     }
--- a/src/leadership/cancellation_replication.cpp
+++ b/src/leadership/cancellation_replication.cpp
@@ -47,7 +47,7 @@
     replica_.apply_leader_snapshot(final_snapshot, clock_());
 }
 
-void CancellationReplication::round() {
+void CancellationReplication::exchange_with_peers() {
     if (leadership_.knows_leadership_record()) {
         const std::lock_guard lock(mutex_);
         replica_.start_recording(clock_());
--- a/src/leadership/cancellation_replication.hpp
+++ b/src/leadership/cancellation_replication.hpp
@@ -10,8 +10,8 @@
 ///
 /// From these exchanges each controller derives whether it may renew agents' leases and which tasks
 /// its responses stop. `LeadershipProof` and `CancellationReplica` make these decisions; this class
-/// calls peers and responds to them. The daemon's announcing thread calls `round`, request threads
-/// call the other functions. The clock and the peer client are injected.
+/// calls peers and responds to them. The daemon's announcing thread calls `exchange_with_peers`,
+/// request threads call the other functions. The clock and the peer client are injected.
 #pragma once
 
 #include <cstdint>
@@ -60,7 +60,7 @@
     void on_deposed(const CancelledJobs& leader_jobs);
     /// Performs one exchange with each peer: announcements or requests, depending on the role.
     /// Intended to be called once a second. Blocks on calls to peers.
-    void round();
+    void exchange_with_peers();
 
     /// Returns whether the leader may renew agents' leases.
     [[nodiscard]] bool may_renew() const;
--- a/src/leadership/leader_elector.cpp
+++ b/src/leadership/leader_elector.cpp
@@ -333,7 +333,7 @@
     reset_restart_count();
 }
 
-void LeaderElector::round() {
+void LeaderElector::run_once() {
     maintain_lease();
     check_leadership();
 }
--- a/src/leadership/leader_elector.hpp
+++ b/src/leadership/leader_elector.hpp
@@ -24,7 +24,7 @@
 
 namespace bendspindle::leadership {
 
-/// Elector of this controller. `run`, `round`, `maintain_lease` and `check_leadership` must be
+/// Elector of this controller. `run`, `run_once`, `maintain_lease` and `check_leadership` must be
 /// called from one thread; the other functions are thread-safe.
 class LeaderElector : public Leadership {
   public:
@@ -52,7 +52,7 @@
 
     /// Performs one iteration of `run` without its waits: `maintain_lease`, then
     /// `check_leadership`.
-    void round();
+    void run_once();
     /// Renews the lease when that is due, and completes the work that follows an election: revokes
     /// the lease of a former incarnation and resets the restart count.
     void maintain_lease();
@@ -131,7 +131,7 @@
     bool knows_leadership_record_ = false;
     bool made_progress_ = false;
 
-    // Used only by the thread that calls `round`, without a lock.
+    // Used only by the thread that calls `run_once`, without a lock.
     bool just_restarted_ = true;  // until this incarnation leads or sees another controller lead
     bool yielded_ = false;
     std::optional<std::uint64_t> former_lease_;  // lease of a former incarnation, to be revoked
--- a/tests/leader_elector_test.cpp
+++ b/tests/leader_elector_test.cpp
@@ -1,6 +1,6 @@
 // Tests the election against a stand-in for the key-value store, with incarnations of one
 // controller that follow each other immediately, overlap or keep restarting. Each incarnation is
-// one `LeaderElector`; an incarnation whose `round` is no longer called has ended or is stalled.
+// one `LeaderElector`; an incarnation whose `run_once` is no longer called has ended or is stalled.
 #include "leadership/leader_elector.hpp"
 
 #include <gtest/gtest.h>
@@ -30,7 +30,7 @@
     // Returns an incarnation that has completed its first round.
     std::unique_ptr<LeaderElector> started(const std::string& name, core::Seconds lease = 60s) {
         auto out = incarnation(name, lease);
-        out->round();
+        out->run_once();
         return out;
     }
     std::uint32_t recorded_restarts() {
@@ -88,16 +88,16 @@
     EXPECT_FALSE(first->status().leading);
     EXPECT_FALSE(first->lease_valid());
     EXPECT_EQ(deposed_, 1);
-    first->round();  // no election, it is still yielding
+    first->run_once();  // no election, it is still yielding
     EXPECT_FALSE(first->status().leading);
-    peer->round();
+    peer->run_once();
     EXPECT_TRUE(peer->status().leading);
     EXPECT_EQ(peer->status().term, 2U);
     // Without another candidate it is elected once its yield period has ended.
     peer->yield_leadership();
     const auto until = Clock::now() + 10s;
     while (!first->status().leading && Clock::now() < until) {
-        first->round();
+        first->run_once();
         std::this_thread::sleep_for(50ms);
     }
     EXPECT_TRUE(first->status().leading);
@@ -109,13 +109,13 @@
     ASSERT_TRUE(current->status().leading);
     // Its lease has not been revoked yet; it steps down because the leader key was replaced.
     std::this_thread::sleep_for(300ms);
-    former->round();
+    former->run_once();
     EXPECT_FALSE(former->status().leading);
     EXPECT_EQ(deposed_, 1);
-    current->round();
+    current->run_once();
     for (int i = 0; i < 3; ++i) {
-        former->round();
-        current->round();
+        former->run_once();
+        current->run_once();
     }
     EXPECT_FALSE(former->status().leading);
     EXPECT_TRUE(current->status().leading);
@@ -126,8 +126,8 @@
     const auto one = incarnation("a", 1s);
     const auto other = incarnation("a", 1s);
     for (int i = 0; i < 4; ++i) {
-        one->round();
-        other->round();
+        one->run_once();
+        other->run_once();
         std::this_thread::sleep_for(300ms);
     }
     EXPECT_NE(one->status().leading, other->status().leading);
@@ -146,7 +146,7 @@
     const auto as_if_first = store_.compare_and_swap({{"steward", 0}, {"view", 0}},
                                                      {{"steward", key.value, std::nullopt}});
     EXPECT_EQ(as_if_first.outcome, state::StoreStatus::conflict);
-    second->round();
+    second->run_once();
     EXPECT_TRUE(second->status().leading);
 }
 
@@ -162,8 +162,8 @@
     const auto peer = incarnation("b", 1s);
     const auto until = Clock::now() + 30s;
     while (!peer->status().leading && Clock::now() < until) {
-        peer->round();
-        next->round();
+        peer->run_once();
+        next->run_once();
         std::this_thread::sleep_for(20ms);
     }
     EXPECT_TRUE(peer->status().leading);
@@ -181,7 +181,7 @@
     EXPECT_FALSE(next->status().leading);
     const auto until = Clock::now() + 30s;
     while (!next->status().leading && Clock::now() < until) {
-        next->round();
+        next->run_once();
         std::this_thread::sleep_for(20ms);
     }
     EXPECT_TRUE(next->status().leading);
--- a/tests/standin/leader_change_simulation.cpp
+++ b/tests/standin/leader_change_simulation.cpp
@@ -179,7 +179,7 @@
         timeline_.wait(Seconds{0.05 * world_.below_one()});
         for (;;) {
             look = std::make_shared<Timeline::Signal>();
-            elector.round();
+            elector.run_once();
             timeline_.wait_for(look, Seconds{0.45 + 0.1 * world_.below_one()});
         }
     }
@@ -187,7 +187,7 @@
     // `daemon::Announcements`.
     void announce() {
         for (;;) {
-            replication.round();
+            replication.exchange_with_peers();
             if (elector.status().leading && desk.detect_inbound_unreachable())
                 elector.yield_leadership();
             timeline_.wait(Seconds{1});
