--- a/src/daemon/placement_loop.cpp
+++ b/src/daemon/placement_loop.cpp
@@ -74,7 +74,7 @@
     log_started_jobs(*controller);
     if (auto& progress = access.failover_progress()) {
         progress->observe(*controller, Clock::now());
-        if (progress->progressed(Clock::now())) elector_.made_progress();
+        if (progress->progressed(Clock::now())) elector_.record_progress();
     }
     return commands;
 }
--- a/src/leadership/leader_elector.cpp
+++ b/src/leadership/leader_elector.cpp
@@ -322,7 +322,7 @@
     return terminal_states_allowed_from_;
 }
 
-void LeaderElector::made_progress() {
+void LeaderElector::record_progress() {
     const std::lock_guard lock(mutex_);
     made_progress_ = true;
 }
--- a/src/leadership/leader_elector.hpp
+++ b/src/leadership/leader_elector.hpp
@@ -79,7 +79,7 @@
     Clock::time_point terminal_states_allowed_from() const;
     /// Records that this controller makes progress as the leader, so that its next incarnation may
     /// reclaim the leadership at once.
-    void made_progress();
+    void record_progress();
 
   private:
     // Leader key and leadership record, read one after the other and not atomically.
--- a/tests/leader_elector_test.cpp
+++ b/tests/leader_elector_test.cpp
@@ -194,7 +194,7 @@
     EXPECT_EQ(recorded_restarts(), 2U);
     third->maintain_lease();
     EXPECT_EQ(recorded_restarts(), 2U);
-    third->made_progress();
+    third->record_progress();
     third->maintain_lease();
     EXPECT_EQ(recorded_restarts(), 0U);
     EXPECT_TRUE(third->status().leading);
