--- a/src/api/peer_requests.cpp
+++ b/src/api/peer_requests.cpp
@@ -18,7 +18,7 @@
       leader_state_(leader_state) {}
 
 wire::peer::Answer PeerRequests::handle(const wire::peer::Request& request) {
-    peers_.was_called();
+    peers_.record_incoming_call();
     auto response = dispatch(request);
     return {static_cast<std::uint16_t>(response.status),
             static_cast<std::uint16_t>(response.retry_after), leadership_.status().term,
--- a/src/leadership/peers.hpp
+++ b/src/leadership/peers.hpp
@@ -47,7 +47,7 @@
                                                               const wire::peer::Request& request);
 
     /// Records that a peer has called this controller.
-    void was_called() { last_contact_ = clock_(); }
+    void record_incoming_call() { last_contact_ = clock_(); }
     /// Returns when a peer last responded to a call or made one, or the clock's epoch if there was
     /// no contact yet.
     [[nodiscard]] core::TimePoint last_contact() const { return last_contact_.load(); }
--- a/tests/standin/leader_change_simulation.cpp
+++ b/tests/standin/leader_change_simulation.cpp
@@ -91,7 +91,7 @@
     }
 
     wire::peer::Answer answer(const wire::peer::Request& request) {
-        peers.was_called();
+        peers.record_incoming_call();
         wire::Response response;
         switch (request.op) {
             case wire::peer::Op::status:
