--- a/src/agents/heartbeat_handler.cpp
+++ b/src/agents/heartbeat_handler.cpp
@@ -63,7 +63,7 @@
     return true;
 }
 
-wire::Response HeartbeatHandler::heartbeat(const std::string& body, RequestOrigin origin) {
+wire::Response HeartbeatHandler::handle(const std::string& body, RequestOrigin origin) {
     const auto heartbeat = wire::parse_heartbeat(body);
     if (!heartbeat)
         return {wire::http_status::bad_request, 0, wire::error_body("malformed report")};
--- a/src/agents/heartbeat_handler.hpp
+++ b/src/agents/heartbeat_handler.hpp
@@ -33,7 +33,7 @@
 
     /// Returns the response to an encoded heartbeat. Blocks while the heartbeat is forwarded to the
     /// leader.
-    wire::Response heartbeat(const std::string& body, RequestOrigin origin);
+    wire::Response handle(const std::string& body, RequestOrigin origin);
     /// Resets the reachability check when this controller becomes the leader.
     void on_elected();
     /// Returns whether agents currently reach only the leader's peers and no longer the leader
--- a/src/api/peer_requests.cpp
+++ b/src/api/peer_requests.cpp
@@ -32,7 +32,7 @@
         case wire::peer::Op::cancel:
             return handlers_.cancellation.handle(request.id, agents::RequestOrigin::peer);
         case wire::peer::Op::heartbeat:
-            return handlers_.heartbeats.heartbeat(request.body, agents::RequestOrigin::peer);
+            return handlers_.heartbeats.handle(request.body, agents::RequestOrigin::peer);
         case wire::peer::Op::leader_announcement:
             return leader_announcement(request);
         case wire::peer::Op::cancellation_snapshot:
--- a/src/daemon/http_routes.cpp
+++ b/src/daemon/http_routes.cpp
@@ -67,7 +67,7 @@
     });
     http.Post(wire::path::heartbeat,
               [handlers](const Request& request, httplib::Response& response) {
-                  send(handlers.heartbeats.heartbeat(request.body, Origin::client), response);
+                  send(handlers.heartbeats.handle(request.body, Origin::client), response);
               });
     http.set_error_handler(answer_unserved);
 }
--- a/tests/leader_changes_test.cpp
+++ b/tests/leader_changes_test.cpp
@@ -392,15 +392,15 @@
 // Before its records are loaded it renews no longer than a follower may, with the same stops.
 TEST_F(Leader, WithoutRecordsRenewsByWhatItRemembersOnly) {
     const auto body = wire::heartbeat_body(heartbeat(1, 2));
-    EXPECT_EQ(desk_.heartbeat(body, agents::RequestOrigin::client).status, 503);
+    EXPECT_EQ(desk_.handle(body, agents::RequestOrigin::client).status, 503);
     replication_.on_deposed({true, {"job-100001"}});
-    const auto response = desk_.heartbeat(body, agents::RequestOrigin::client);
+    const auto response = desk_.handle(body, agents::RequestOrigin::client);
     ASSERT_EQ(response.status, 200);
     const core::TaskCommand stop{core::TaskCommand::Verb::stop, "job-100001", 0, 7,
                                  core::Seconds{0}};
     EXPECT_EQ(response.body, wire::commands_body(3, {stop}));
     now_ = core::later(start, leadership::renewal_bound(workers_) + core::Seconds(1));
-    EXPECT_EQ(desk_.heartbeat(body, agents::RequestOrigin::client).status, 503);
+    EXPECT_EQ(desk_.handle(body, agents::RequestOrigin::client).status, 503);
 }
 
 TEST(LeaderChanges, WithoutTroublesWorkRunsAndCancellationsEndIt) {
--- a/tests/standin/leader_change_simulation.cpp
+++ b/tests/standin/leader_change_simulation.cpp
@@ -100,7 +100,7 @@
                 response.status = cancel(request.id, agents::RequestOrigin::peer);
                 break;
             case wire::peer::Op::heartbeat:
-                response = desk.heartbeat(request.body, agents::RequestOrigin::peer);
+                response = desk.handle(request.body, agents::RequestOrigin::peer);
                 break;
             case wire::peer::Op::leader_announcement:
                 elector.learn_leader(request.term, request.id);
@@ -603,7 +603,7 @@
             for (const auto& entry : live_) {
                 const auto node = entry.second;
                 timeline_.spawn(node->life, [node, body] {
-                    node->desk.heartbeat(body, agents::RequestOrigin::client);
+                    node->desk.handle(body, agents::RequestOrigin::client);
                 });
             }
         });
@@ -732,7 +732,7 @@
     const auto body = wire::heartbeat_body(machine.last_heartbeat);
     timeline_.in(node->life, latency(), [=, this, &machine] {
         timeline_.spawn(node->life, [=, this, &machine] {
-            const auto response = node->desk.heartbeat(body, agents::RequestOrigin::client);
+            const auto response = node->desk.handle(body, agents::RequestOrigin::client);
             timeline_.after(latency(),
                             [=, this, &machine] { answered(machine, flight, response); });
         });
