--- a/src/api/peer_requests.cpp
+++ b/src/api/peer_requests.cpp
@@ -18,7 +18,7 @@
       leader_state_(leader_state) {}
 
 wire::peer::Answer PeerRequests::handle(const wire::peer::Request& request) {
-    peers_.was_called();
+    peers_.record_incoming_call();
     auto response = dispatch(request);
     return {static_cast<std::uint16_t>(response.status),
             static_cast<std::uint16_t>(response.retry_after), leadership_.status().term,
@@ -32,7 +32,7 @@
         case wire::peer::Op::cancel:
             return handlers_.cancellation.handle(request.id, agents::RequestOrigin::peer);
         case wire::peer::Op::heartbeat:
-            return handlers_.heartbeats.heartbeat(request.body, agents::RequestOrigin::peer);
+            return handlers_.heartbeats.handle(request.body, agents::RequestOrigin::peer);
         case wire::peer::Op::leader_announcement:
             return leader_announcement(request);
         case wire::peer::Op::cancellation_snapshot:
--- a/tests/standin/leader_change_simulation.cpp
+++ b/tests/standin/leader_change_simulation.cpp
@@ -91,7 +91,7 @@
     }
 
     wire::peer::Answer answer(const wire::peer::Request& request) {
-        peers.was_called();
+        peers.record_incoming_call();
         wire::Response response;
         switch (request.op) {
             case wire::peer::Op::status:
@@ -100,7 +100,7 @@
                 response.status = cancel(request.id, agents::RequestOrigin::peer);
                 break;
             case wire::peer::Op::heartbeat:
-                response = desk.heartbeat(request.body, agents::RequestOrigin::peer);
+                response = desk.handle(request.body, agents::RequestOrigin::peer);
                 break;
             case wire::peer::Op::leader_announcement:
                 elector.learn_leader(request.term, request.id);
@@ -179,7 +179,7 @@
         timeline_.wait(Seconds{0.05 * world_.below_one()});
         for (;;) {
             look = std::make_shared<Timeline::Signal>();
-            elector.round();
+            elector.run_once();
             timeline_.wait_for(look, Seconds{0.45 + 0.1 * world_.below_one()});
         }
     }
@@ -187,7 +187,7 @@
     // `daemon::Announcements`.
     void announce() {
         for (;;) {
-            replication.round();
+            replication.exchange_with_peers();
             if (elector.status().leading && desk.detect_inbound_unreachable())
                 elector.yield_leadership();
             timeline_.wait(Seconds{1});
@@ -361,7 +361,7 @@
                 controller()->direct_commands(timeline_.now(), replication.may_renew());
             auto& progress = *leader_state.lock().failover_progress();
             progress.observe(*controller(), timeline_.now());
-            if (progress.progressed(timeline_.now())) elector.made_progress();
+            if (progress.progressed(timeline_.now())) elector.record_progress();
             for (const auto& call : calls) world_.deliver_call(shared_from_this(), call);
         }
     }
@@ -604,7 +604,7 @@
             for (const auto& entry : live_) {
                 const auto node = entry.second;
                 timeline_.spawn(node->life, [node, body] {
-                    node->desk.heartbeat(body, agents::RequestOrigin::client);
+                    node->desk.handle(body, agents::RequestOrigin::client);
                 });
             }
         });
@@ -733,7 +733,7 @@
     const auto body = wire::heartbeat_body(machine.last_heartbeat);
     timeline_.in(node->life, latency(), [=, this, &machine] {
         timeline_.spawn(node->life, [=, this, &machine] {
-            const auto response = node->desk.heartbeat(body, agents::RequestOrigin::client);
+            const auto response = node->desk.handle(body, agents::RequestOrigin::client);
             timeline_.after(latency(),
                             [=, this, &machine] { answered(machine, flight, response); });
         });
