--- a/src/state/failover_progress.cpp
+++ b/src/state/failover_progress.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// A process that ends sooner is taken to end of what it does as leader.
-constexpr std::chrono::seconds long_enough{8};
+// A process that ends sooner after its election is assumed to have failed at its work as leader.
+constexpr std::chrono::seconds min_leading_time{8};
 
 std::string two_decimals(double value) {
     return fmt::format("{:.2f}", value);
@@ -48,7 +48,7 @@
 }
 
 bool FailoverProgress::progressed(Clock::time_point now) const {
-    return any_fenced_ && now - elected_at_ >= long_enough;
+    return any_fenced_ && now - elected_at_ >= min_leading_time;
 }
 
 }  // namespace bendspindle::state
--- a/src/state/failover_progress.hpp
+++ b/src/state/failover_progress.hpp
@@ -1,8 +1,9 @@
-/// How a failover goes, in log lines that operators and measurements read: how long after the
-/// election the records were loaded, half and all recorded machines were fenced (have shown the
-/// term's fencing token) or are gone, and the first task start was ordered.
+/// Logs the progress of a failover for operators and measurements: how long after the election the
+/// records were loaded, half and all of the recorded machines were fenced (have reported the term's
+/// fencing token) or are gone, and the first task start was ordered.
 ///
-/// Pure but for the log: the time is passed in. Owned by `LeaderState`, used under its lock.
+/// Has no side effect besides the log; the caller passes the time. Owned by `LeaderState` and
+/// guarded by the leader mutex.
 #pragma once
 
 #include <chrono>
@@ -11,18 +12,18 @@
 
 namespace bendspindle::state {
 
-/// Of one term.
+/// The failover progress of one term.
 class FailoverProgress {
   public:
     using Clock = std::chrono::steady_clock;
     explicit FailoverProgress(Clock::time_point elected_at) : elected_at_(elected_at) {}
 
-    /// The records are loaded into `controller`, which begins to lead.
+    /// Records and logs that the records are loaded into `controller`, which is about to lead.
     void loaded(const core::Controller& controller, Clock::time_point now);
-    /// Logs what has happened since the last call; cheap once everything was logged.
+    /// Logs the milestones reached since the last call. Costs little once all were logged.
     void observe(const core::Controller& controller, Clock::time_point now);
-    /// Whether this term has got somewhere: a recorded machine was fenced, or there was none, and
-    /// the controller has led for a while since.
+    /// Returns whether this term has made progress: a recorded machine was fenced or there was
+    /// none, and a minimum time has passed since the election.
     [[nodiscard]] bool progressed(Clock::time_point now) const;
 
   private:
--- a/src/state/http_key_value_store.cpp
+++ b/src/state/http_key_value_store.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds call_limit{1500};
-// Records are a few hundred bytes, an answer holds up to 512 KiB. A failover with 2,000 machines
-// took 25 calls one after the other with pages of 100.
-constexpr unsigned page = 400;
+constexpr std::chrono::milliseconds request_timeout{1500};
+// Records are a few hundred bytes and a response holds up to 512 KiB. With pages of 100, a failover
+// with 2,000 machines took 25 consecutive calls.
+constexpr unsigned max_entries_per_page = 400;
 
 }  // namespace
 
 HttpKeyValueStore::HttpKeyValueStore(io::Endpoint endpoint)
-    : client_(std::move(endpoint), call_limit) {}
+    : client_(std::move(endpoint), request_timeout) {}
 
 StoreStatus HttpKeyValueStore::status_of(const std::optional<io::HttpAnswer>& answer) {
     if (!answer) return StoreStatus::unknown;
@@ -54,7 +54,7 @@
     ListResult out;
     std::string after;
     for (;;) {
-        const auto answer = client_.get(wire::path::range(prefix, after, page));
+        const auto answer = client_.get(wire::path::range(prefix, after, max_entries_per_page));
         out.outcome = status_of(answer);
         if (out.outcome != StoreStatus::ok) return out;
         auto entries = wire::parse_entries(answer->body);
@@ -62,7 +62,8 @@
             out.outcome = StoreStatus::unknown;
             return out;
         }
-        // What changes between two pages is watched from the first page on.
+        // A watch starts at the first page's revision, so it also reports what changed between two
+        // pages.
         if (after.empty()) out.revision = entries->revision;
         for (auto& entry : entries->entries) out.entries.push_back(std::move(entry));
         if (!entries->more || entries->entries.empty()) return out;
@@ -103,8 +104,8 @@
     return out;
 }
 
-std::optional<std::uint64_t> HttpKeyValueStore::grant_lease(std::chrono::milliseconds life) {
-    const auto answer = client_.post(wire::path::leases, wire::lease_body(life));
+std::optional<std::uint64_t> HttpKeyValueStore::grant_lease(std::chrono::milliseconds ttl) {
+    const auto answer = client_.post(wire::path::leases, wire::lease_body(ttl));
     if (status_of(answer) != StoreStatus::ok) return std::nullopt;
     return wire::parse_lease(answer->body);
 }
--- a/src/state/http_key_value_store.hpp
+++ b/src/state/http_key_value_store.hpp
@@ -1,4 +1,4 @@
-/// The key-value store over HTTP. Thread-safe; a call borrows a connection of its own.
+/// The key-value store over HTTP. Thread-safe: each call borrows its own connection from the pool.
 #pragma once
 
 #include <atomic>
@@ -13,7 +13,7 @@
 
 namespace bendspindle::state {
 
-/// Calls one endpoint of the store; knows when it last succeeded.
+/// A client for one endpoint of the store, which also records the time of its last success.
 class HttpKeyValueStore : public KeyValueStore {
   public:
     explicit HttpKeyValueStore(io::Endpoint endpoint);
@@ -23,7 +23,7 @@
                      std::chrono::milliseconds wait) override;
     CasResult compare_and_swap(const std::vector<wire::Condition>& conditions,
                                const std::vector<wire::Operation>& operations) override;
-    std::optional<std::uint64_t> grant_lease(std::chrono::milliseconds life) override;
+    std::optional<std::uint64_t> grant_lease(std::chrono::milliseconds ttl) override;
     StoreStatus keep_alive(std::uint64_t lease) override;
     StoreStatus revoke_lease(std::uint64_t lease) override;
     Clock::time_point last_success() const override { return last_success_.load(); }
--- a/src/state/job_admission.cpp
+++ b/src/state/job_admission.cpp
@@ -15,21 +15,22 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds batching_time{10};
-constexpr milliseconds admission_limit{2500};  // users give up after 5 s
-constexpr milliseconds pause_after_refusal{100};
-constexpr std::size_t most_bytes = 48 * 1024;
+constexpr milliseconds admission_timeout{2500};  // user requests time out after 5 s
+constexpr milliseconds min_retry_delay{100};
+constexpr std::size_t max_transaction_bytes = 48 * 1024;
 constexpr std::size_t assumed_record_bytes = 2048;
-// What one controller may take of the budget of changes that all of them share.
+// The share of the store's write rate that admissions on one controller may use. All controllers
+// share that rate.
 constexpr double budget_share = 0.4;
 
-// With jitter, so that several controllers do not call together.
-milliseconds pause_with_jitter() {
+// Returns a delay with jitter, so that several controllers do not retry at the same time.
+milliseconds jittered_retry_delay() {
     static thread_local std::mt19937 random(std::random_device{}());
-    std::uniform_int_distribution<int> jitter(0, static_cast<int>(pause_after_refusal.count()));
-    return pause_after_refusal + milliseconds(jitter(random));
+    std::uniform_int_distribution<int> jitter(0, static_cast<int>(min_retry_delay.count()));
+    return min_retry_delay + milliseconds(jitter(random));
 }
 
-bool failed(const CasResult& result, const std::string& key) {
+bool condition_failed(const CasResult& result, const std::string& key) {
     return std::find(result.failed.begin(), result.failed.end(), key) != result.failed.end();
 }
 
@@ -41,12 +42,12 @@
 JobAdmission::Answer JobAdmission::admit(core::JobRecord record) {
     auto entry = std::make_shared<Entry>();
     entry->record = std::move(record);
-    entry->until = Clock::now() + admission_limit;
+    entry->deadline = Clock::now() + admission_timeout;
     std::unique_lock lock(mutex_);
     waiting_.push_back(entry);
     entry_added_.notify_one();
-    entry_resolved_.wait_until(lock, entry->until, [&] { return entry->outcome.has_value(); });
-    return {entry->outcome.value_or(Result::failed), entry->sent};
+    entry_resolved_.wait_until(lock, entry->deadline, [&] { return entry->outcome.has_value(); });
+    return {entry->outcome.value_or(Result::failed), entry->sent_at};
 }
 
 void JobAdmission::run() {
@@ -66,31 +67,34 @@
 }
 
 JobAdmission::Batch JobAdmission::collect_batch() {
-    // Guard: one record that the store calls malformed took all that were written with it along,
-    // until their users gave up. They are written one by one
-    // (JobAdmission.AdmitsTheOthersWhenOneIsCalledMalformed).
-    const auto most = write_one_by_one_ > 0
-                          ? std::size_t{1}
-                          : std::min(limits_.txn_ops, most_bytes / assumed_record_bytes);
-    if (write_one_by_one_ > 0) --write_one_by_one_;
+    // One record that the store rejected as malformed made every transaction with it fail until the
+    // users of the other jobs timed out. After such a rejection the entries are written one at a
+    // time (JobAdmission.AdmitsTheOthersWhenOneIsCalledMalformed).
+    const auto max_entries =
+        single_writes_left_ > 0
+            ? std::size_t{1}
+            : std::min(limits_.txn_ops, max_transaction_bytes / assumed_record_bytes);
+    if (single_writes_left_ > 0) --single_writes_left_;
     Batch batch;
     const std::lock_guard lock(mutex_);
-    while (!waiting_.empty() && batch.size() < most) {
+    while (!waiting_.empty() && batch.size() < max_entries) {
         auto entry = std::move(waiting_.front());
         waiting_.pop_front();
-        // Guard: what its user has given up on is not written behind the user's back.
-        if (entry->until > Clock::now()) batch.push_back(std::move(entry));
+        // A job whose admission has timed out is not written: its user was told that it was not
+        // recorded.
+        if (entry->deadline > Clock::now()) batch.push_back(std::move(entry));
     }
     return batch;
 }
 
 void JobAdmission::write_batch(const Batch& batch) {
-    if (commit(batch) == StoreStatus::invalid && batch.size() > 1) write_one_by_one_ = batch.size();
-    const bool again = any_unresolved(batch);
+    if (commit(batch) == StoreStatus::invalid && batch.size() > 1)
+        single_writes_left_ = batch.size();
+    const bool retry = any_unresolved(batch);
     const std::chrono::duration<double> cost{static_cast<double>(batch.size()) /
                                              (limits_.writes_per_s * budget_share)};
     std::this_thread::sleep_for(cost);
-    if (again) std::this_thread::sleep_for(pause_with_jitter());
+    if (retry) std::this_thread::sleep_for(jittered_retry_delay());
 }
 
 StoreStatus JobAdmission::commit(const Batch& batch) {
@@ -102,24 +106,25 @@
         conditions.push_back({keys::over(id), 0});
         operations.push_back({keys::job(id), wire::job_record(entry->record), {}});
     }
-    const auto sent = Clock::now();
+    const auto sent_at = Clock::now();
     const auto result = store_.compare_and_swap(conditions, operations);
-    resolve_outcome(batch, result, sent);
+    resolve_outcome(batch, result, sent_at);
     return result.outcome;
 }
 
-// What is not resolved is written again.
+// Puts entries without an outcome back into the queue, so that they are written again.
 void JobAdmission::resolve_outcome(const Batch& batch, const CasResult& result,
-                                   Clock::time_point sent) {
+                                   Clock::time_point sent_at) {
     const std::lock_guard lock(mutex_);
     for (const auto& entry : batch) {
-        entry->sent = sent;
+        entry->sent_at = sent_at;
         const auto& id = entry->record.spec.id;
-        const bool exists = failed(result, keys::job(id)) || failed(result, keys::over(id));
+        const bool exists =
+            condition_failed(result, keys::job(id)) || condition_failed(result, keys::over(id));
         if (result.outcome == StoreStatus::ok)
             entry->outcome = Result::admitted;
         else if (result.outcome == StoreStatus::conflict && exists)
-            entry->outcome = Result::known;
+            entry->outcome = Result::already_recorded;
         else if (result.outcome == StoreStatus::invalid && batch.size() == 1)
             entry->outcome = Result::failed;
         else
--- a/src/state/job_admission.hpp
+++ b/src/state/job_admission.hpp
@@ -1,9 +1,10 @@
-/// Admits jobs on a controller that is not the leader: their first records are written here, and
-/// the leader adopts them by its watch (`JobWatch`). So a job is taken while there is no leader,
-/// and none is lost with the controller that took it. Idempotent: a record that exists stays.
+/// Admits jobs on a controller that is not the leader: it writes the first record of a job, and the
+/// leader adopts the job through its watch (`JobWatch`). Jobs are thus accepted while there is no
+/// leader, and none is lost if the controller that accepted it fails. Idempotent: an existing
+/// record is kept.
 ///
-/// `admit` is called on the threads of users' requests; `run` has a thread of its own, which
-/// commits what several of them wait for in one transaction.
+/// `admit` is called on the threads of user requests. `run` has its own thread, which commits the
+/// records of several requests in one transaction.
 #pragma once
 
 #include <chrono>
@@ -21,36 +22,37 @@
 
 namespace bendspindle::state {
 
-/// Writes first records for as long as the process lives.
+/// A writer of the first records of jobs, which runs until the process ends.
 class JobAdmission {
   public:
-    /// What became of a job's first record.
+    /// The outcome of writing a job's first record.
     enum class Result : std::uint8_t {
         admitted,
-        known,   // a record exists: open or terminal
-        failed,  // not recorded in time, as far as known
+        already_recorded,  // an open or terminal record exists
+        failed,            // not known to be recorded in time
     };
 
-    /// What `admit` returns.
+    /// The result of `admit`.
     struct Answer {
         Result outcome = Result::failed;
-        // When the transaction was sent: others may have answered for the job since.
+        // When the transaction was sent. Other controllers may have reported a newer state since.
         std::chrono::steady_clock::time_point sent{};
     };
 
     JobAdmission(KeyValueStore& store, config::StateLimits limits);
-    /// Runs until the process ends.
+    /// Commits queued records. Does not return.
     void run();
-    /// Waits until the record is written, or no longer than a user may be kept waiting.
+    /// Writes the job's first record unless the job has a record. Waits until the outcome is known,
+    /// at most for the time that a user request may take.
     [[nodiscard]] Answer admit(core::JobRecord record);
 
   private:
     using Clock = std::chrono::steady_clock;
     struct Entry {
         core::JobRecord record;
-        Clock::time_point until{};
+        Clock::time_point deadline{};
         std::optional<Result> outcome;
-        Clock::time_point sent{};
+        Clock::time_point sent_at{};
     };
     using Batch = std::vector<std::shared_ptr<Entry>>;
 
@@ -58,16 +60,17 @@
     Batch collect_batch();
     void write_batch(const Batch& batch);
     StoreStatus commit(const Batch& batch);
-    void resolve_outcome(const Batch& batch, const CasResult& result, Clock::time_point sent);
+    void resolve_outcome(const Batch& batch, const CasResult& result, Clock::time_point sent_at);
     bool any_unresolved(const Batch& batch);
 
     KeyValueStore& store_;
     const config::StateLimits limits_;
-    std::mutex mutex_;  // guards waiting_ and each entry's outcome; held across no call
+    std::mutex mutex_;  // guards waiting_ and each entry's outcome; not held during a call
     std::condition_variable entry_added_;
     std::condition_variable entry_resolved_;
     std::deque<std::shared_ptr<Entry>> waiting_;
-    std::size_t write_one_by_one_ = 0;  // so many of the next entries; for `run` only
+    // Number of entries still to be written one at a time. Used by `run` only.
+    std::size_t single_writes_left_ = 0;
 };
 
 }  // namespace bendspindle::state
--- a/src/state/job_watch.cpp
+++ b/src/state/job_watch.cpp
@@ -14,8 +14,8 @@
 using std::chrono::milliseconds;
 using Clock = std::chrono::steady_clock;
 
-constexpr milliseconds longest_watch{10'000};
-// This controller's own writes end a watch too; a pause lets several come together.
+constexpr milliseconds max_watch_duration{10'000};
+// This controller's own writes also end a watch; the pause lets several events arrive together.
 constexpr milliseconds pause_between_watches{100};
 
 }  // namespace
@@ -40,7 +40,7 @@
         term = access.controller()->term();
         since = access.job_watch_cursor().revision();
     }
-    auto events = store_.watch(keys::jobs, since, longest_watch);
+    auto events = store_.watch(keys::jobs, since, max_watch_duration);
     if (events.outcome == StoreStatus::too_old) events = store_.list(keys::jobs);
     if (events.outcome == StoreStatus::ok) adopt(events.entries, events.revision, term);
 }
@@ -50,30 +50,30 @@
     auto access = leader_state_.lock();
     auto* const controller = access.controller_of(term);
     if (controller == nullptr) return;
-    // Guard against ran_twice: without a valid lease another controller may lead already, and it
-    // would take this one to have known nothing of younger records. They are read again later.
+    // Guards against ran_twice: without a valid lease another controller may already lead, and it
+    // would assume that this one did not know the newer records. They are read again later.
     if (!lease_valid_()) return;
     auto& cursor = access.job_watch_cursor();
     bool any_adopted = false;
     for (const auto& entry : entries) {
         const auto record = wire::parse_job_record(entry.value);
-        // Guard against doing finished work again, and answering its user so: the event of a record
-        // that this controller has written, or whose job has ended, may arrive late
+        // Guards against running a finished job again and reporting it as open: the event of a
+        // record that this controller wrote, or whose job has ended, may arrive late
         // (JobWatchCursor.ALateEventAdoptsNoEndedJob,
         // ReadConsistencySmallCache.ALateWatchEventRestartsNoEndedJob).
         if (!record || !record->home.empty()) continue;
         if (!cursor.is_new(record->spec.id, entry.mod_revision)) continue;
         any_adopted |= controller->adopt(*record, entry.mod_revision, Clock::now());
     }
-    cursor.reached(revision);
+    cursor.advance_to(revision);
     if (any_adopted) access.request_placement();
 }
 
 bool JobWatch::adopt_one(const std::string& id, std::uint64_t term) {
     const auto open = store_.get(keys::job(id));
     if (open.outcome != StoreStatus::ok) return false;
-    constexpr std::uint64_t cursor_stays = 0;
-    adopt({open.entry}, cursor_stays, term);
+    constexpr std::uint64_t cursor_unchanged = 0;
+    adopt({open.entry}, cursor_unchanged, term);
     const auto access = leader_state_.lock();
     const auto* const controller = access.controller_of(term);
     return controller != nullptr && controller->knows(id);
--- a/src/state/job_watch.hpp
+++ b/src/state/job_watch.hpp
@@ -1,7 +1,8 @@
-/// Brings jobs that followers have admitted to the leader, by a watch of the open jobs' records.
+/// Adopts on the leader the jobs that followers have admitted, by watching the records of open
+/// jobs.
 ///
-/// Owns the watch; `JobWatchCursor` in `LeaderState` holds how far it got. `run` has a thread of
-/// its own; `adopt_one` is called by the handler of cancellations, on its thread.
+/// Owns the watch; the `JobWatchCursor` in `LeaderState` holds its position. `run` has its own
+/// thread; `adopt_one` is called on the thread of a cancellation request.
 #pragma once
 
 #include <cstdint>
@@ -14,16 +15,18 @@
 
 namespace bendspindle::state {
 
-/// Adopts jobs for as long as the process lives, while this controller is the leader.
+/// A watch that runs until the process ends and adopts jobs while this controller is the leader.
 class JobWatch {
   public:
-    /// `lease_valid`: whether no other controller can lead yet. Called with the leader mutex held.
+    /// `lease_valid` returns whether the lease still rules out another leader. It is called with
+    /// the leader mutex held.
     JobWatch(KeyValueStore& store, LeaderState& leader_state, std::function<bool()> lease_valid);
 
-    /// Runs until the process ends.
+    /// Watches and adopts jobs. Does not return.
     void run();
-    /// For a job that a follower has admitted a moment ago, ahead of its event. Whether the
-    /// controller of this term knows the job now; if not, it is not open, or no job is adopted now.
+    /// Adopts a job that a follower has just admitted, ahead of its watch event. Returns whether
+    /// the controller of this term knows the job afterwards; false if the job is not open or no job
+    /// can be adopted at present. Calls the store, so the caller must not hold the leader mutex.
     [[nodiscard]] bool adopt_one(const std::string& id, std::uint64_t term);
 
   private:
--- a/src/state/job_watch_cursor.hpp
+++ b/src/state/job_watch_cursor.hpp
@@ -1,12 +1,12 @@
-/// Which events of the watch of open jobs are new to the leader.
+/// The position of the watch of open jobs, which tells new events from outdated ones.
 ///
-/// An event of a watch, or a page of a listing, may be read long before it is looked at; the job
-/// may have ended meanwhile and left memory. Whatever was put at or before `revision()` is known
-/// already or has ended. Of what was put later the cursor remembers which jobs have ended, until
-/// the watch has got that far. So no old event begins an ended job again, however late it arrives
-/// and whatever a bounded cache has forgotten.
+/// A watch event or a page of a listing may be processed long after it was read; its job may have
+/// ended and been removed from memory in the meantime. A record put at or before `revision()` is
+/// already known, or its job has ended. For later revisions the cursor keeps the jobs that have
+/// ended until the watch has passed the revisions of their ends. An outdated event therefore never
+/// restarts an ended job, however late it arrives and even if a bounded cache has evicted the job.
 ///
-/// Pure. Owned by `LeaderState`, used under its lock.
+/// Does no I/O. Owned by `LeaderState` and guarded by the leader mutex.
 #pragma once
 
 #include <algorithm>
@@ -16,32 +16,33 @@
 
 namespace bendspindle::state {
 
-/// How far the watch of open jobs got, for one term.
+/// The position of the watch of open jobs in one term.
 class JobWatchCursor {
   public:
-    /// Records up to this revision were read.
+    /// Starts a new term, whose leader has read the records up to this revision.
     void begin(std::uint64_t revision) {
         revision_ = revision;
         ended_.clear();
     }
     [[nodiscard]] std::uint64_t revision() const { return revision_; }
+    /// Returns whether a put of the job's record at `mod_revision` is new to the leader.
     [[nodiscard]] bool is_new(const std::string& id, std::uint64_t mod_revision) const {
         return mod_revision > revision_ && !ended_.contains(id);
     }
-    /// The job's terminal state was recorded at this revision.
-    void ended(const std::string& id, std::uint64_t revision) {
+    /// Records that the job's terminal state was committed at this revision.
+    void record_end(const std::string& id, std::uint64_t revision) {
         if (revision > revision_) ended_[id] = revision;
     }
-    /// All events up to this revision were taken. Never goes back: a listing's revision may be
-    /// older than an event that arrived before it.
-    void reached(std::uint64_t revision) {
+    /// Records that all events up to this revision were processed. An older revision is ignored,
+    /// because a listing's revision may be older than an event that arrived before it.
+    void advance_to(std::uint64_t revision) {
         revision_ = std::max(revision_, revision);
         std::erase_if(ended_, [&](const auto& entry) { return entry.second <= revision_; });
     }
 
   private:
     std::uint64_t revision_ = 0;
-    std::unordered_map<std::string, std::uint64_t> ended_;  // with the revisions of their ends
+    std::unordered_map<std::string, std::uint64_t> ended_;  // job id to the revision of its end
 };
 
 }  // namespace bendspindle::state
--- a/src/state/key_value_store.hpp
+++ b/src/state/key_value_store.hpp
@@ -1,9 +1,8 @@
-/// The consensus-backed key-value store as the rest of the controller uses it: reads, watches,
-/// compare-and-swap transactions and leases, with outcomes that tell executed, refused and unknown
-/// apart.
+/// The interface to the consensus-backed key-value store: reads, watches, compare-and-swap
+/// transactions and leases, with outcomes that distinguish executed, refused and unknown.
 ///
-/// `HttpKeyValueStore` is the real one, a simulation has its own. Calls block; they are made from
-/// any thread, never under the leader mutex.
+/// `HttpKeyValueStore` implements it for production; simulations have their own implementation.
+/// Calls block. They may be made from any thread, but not with the leader mutex held.
 #pragma once
 
 #include <chrono>
@@ -16,57 +15,58 @@
 
 namespace bendspindle::state {
 
-/// How a call ended.
+/// The outcome of a call.
 enum class StoreStatus : std::uint8_t {
     ok,
     absent,    // no such key or lease
     conflict,  // a condition did not hold
     refused,   // not executed: too many requests, or the service is unavailable
-    unknown,   // no answer: it may have been executed, or may still be
-    invalid,   // not executed: the service calls the request malformed
-    too_old,   // a watch from a revision that is no longer kept
+    unknown,   // no response: the call may have been executed, or may still be executed
+    invalid,   // not executed: the service rejected the request as malformed
+    too_old,   // a watch from a revision that the service no longer keeps
 };
 
-/// Of one key.
+/// The result of reading one key.
 struct ReadResult {
     StoreStatus outcome = StoreStatus::unknown;
     wire::Entry entry;
 };
-/// Of a listing or a watch.
+/// The result of a listing or a watch.
 struct ListResult {
     StoreStatus outcome = StoreStatus::unknown;
     std::vector<wire::Entry> entries;
-    std::uint64_t revision = 0;  // where a watch goes on, so that nothing is missed
+    std::uint64_t revision = 0;  // a watch from here on misses no change
 };
-/// Of a transaction.
+/// The result of a transaction.
 struct CasResult {
     StoreStatus outcome = StoreStatus::unknown;
     std::uint64_t revision = 0;
     std::vector<std::string> failed;  // keys whose conditions did not hold
 };
 
-/// Implemented by the real store and by a simulation.
+/// A connection to the key-value store.
 class KeyValueStore {
   public:
     using Clock = std::chrono::steady_clock;
 
     virtual ~KeyValueStore() = default;
-    /// One entry, or `absent`.
+    /// Returns the entry of one key, or `absent`.
     [[nodiscard]] virtual ReadResult get(const std::string& key) = 0;
-    /// All entries under a prefix.
+    /// Returns all entries under a prefix.
     [[nodiscard]] virtual ListResult list(const std::string& prefix) = 0;
-    /// Waits for puts under a prefix after a revision.
+    /// Waits, for at most `wait`, for puts under a prefix after the revision `since`.
     virtual ListResult watch(const std::string& prefix, std::uint64_t since,
                              std::chrono::milliseconds wait) = 0;
-    /// All operations, or none: each condition is a key with its mod_revision, 0 for no such key.
+    /// Executes all operations if every condition holds, otherwise none. A condition is a key with
+    /// its mod_revision, 0 for no such key.
     virtual CasResult compare_and_swap(const std::vector<wire::Condition>& conditions,
                                        const std::vector<wire::Operation>& operations) = 0;
-    /// The new lease, if it was granted.
-    virtual std::optional<std::uint64_t> grant_lease(std::chrono::milliseconds life) = 0;
+    /// Returns the new lease, or nothing if it was not granted.
+    virtual std::optional<std::uint64_t> grant_lease(std::chrono::milliseconds ttl) = 0;
     virtual StoreStatus keep_alive(std::uint64_t lease) = 0;
-    /// Ends a lease at once, and what is attached to it.
+    /// Ends a lease at once and deletes the keys attached to it.
     virtual StoreStatus revoke_lease(std::uint64_t lease) = 0;
-    /// When the service last executed something for this controller.
+    /// Returns when the service last executed a call of this controller.
     virtual Clock::time_point last_success() const = 0;
 };
 
--- a/src/state/keys.hpp
+++ b/src/state/keys.hpp
@@ -1,28 +1,30 @@
-/// Keys in the key-value store, in one place.
+/// The keys of all records in the key-value store.
 #pragma once
 
 #include <string>
 
 namespace bendspindle::state::keys {
 
+/// The prefix of the keys of open jobs.
 inline constexpr const char* jobs = "job/";
-/// An open job: what was asked for, and what of it is done.
+/// Returns the key of an open job's record: its specification and its progress.
 inline std::string job(const std::string& id) {
     return jobs + id;
 }
-/// The terminal state of a job; replaces `job(id)` in the same transaction.
+/// Returns the key of an ended job's terminal state, which replaces `job(id)` in one transaction.
 inline std::string over(const std::string& id) {
     return "over/" + id;
 }
+/// The prefix of the keys of machines.
 inline constexpr const char* machines = "machine/";
 inline std::string machine(const std::string& name) {
     return machines + name;
 }
-/// Names the leader; attached to its lease.
+/// The leader key, whose value names the leader; attached to the leader's lease.
 inline constexpr const char* leader = "steward";
-/// The leadership record: term, leader, and its consecutive restarts.
+/// The leadership record: the term, the leader and its number of consecutive restarts.
 inline constexpr const char* leadership_record = "view";
-/// A running controller; attached to its lease.
+/// Returns the key of a running controller; attached to that controller's lease.
 inline std::string controller(const std::string& name) {
     return "controller/" + name;
 }
--- a/src/state/leader_loader.cpp
+++ b/src/state/leader_loader.cpp
@@ -19,9 +19,9 @@
 void load_machine(const wire::Entry& entry, core::Controller& controller, core::TimePoint now) {
     const auto name = entry.key.substr(std::string(keys::machines).size());
     const auto machine = wire::parse_machine_record(name, entry.value);
-    // Guard against no leader for ever: one record that could not be read kept each controller in
-    // turn from loading. A machine without a readable record is released once its agent reports
-    // (`MachineInventory::update_health`); its record stays as it is.
+    // Guards against a permanent lack of a leader: one unreadable record kept every controller from
+    // loading. A machine without a readable record is released once its agent reports
+    // (`MachineInventory::update_health`); its record is left unchanged.
     if (!machine) {
         io::log::error("record_quarantined", "key", entry.key);
         controller.load_unreadable_machine(name, entry.mod_revision, now);
@@ -32,8 +32,8 @@
 
 using LoadedJobs = std::vector<std::pair<core::JobRecord, std::uint64_t>>;
 
-// Oldest submission first. A record that cannot be read stays as it is, and its user is answered
-// so; all others are loaded.
+// Returns the jobs by submission time, oldest first. An unreadable record is left unchanged and its
+// user gets an error; all others are loaded.
 LoadedJobs parse_jobs(const std::vector<wire::Entry>& entries, core::Controller& controller) {
     LoadedJobs records;
     for (const auto& entry : entries) {
--- a/src/state/leader_loader.hpp
+++ b/src/state/leader_loader.hpp
@@ -1,7 +1,7 @@
-/// Loads the records of machines and open jobs into a fresh core, before it begins to lead.
+/// Loads the records of machines and open jobs into a new core before it begins to lead.
 ///
-/// Called by `daemon::Failover` on a thread of its own, with a core that nobody else has yet; calls
-/// the store and takes no lock.
+/// Called by `daemon::Failover` on its own thread, with a core that no other thread can reach yet.
+/// Calls the store and takes no lock.
 #pragma once
 
 #include <cstdint>
@@ -12,8 +12,8 @@
 
 namespace bendspindle::state {
 
-/// The revision up to which open jobs were read, where their watch begins; none: the store did not
-/// answer, and `controller` is to be thrown away.
+/// Returns the revision up to which open jobs were read, from which their watch starts. Returns
+/// nothing if a listing failed; the caller then discards `controller`.
 [[nodiscard]] std::optional<std::uint64_t> load_records(KeyValueStore& store,
                                                         core::Controller& controller);
 
--- a/src/state/leader_state.cpp
+++ b/src/state/leader_state.cpp
@@ -24,12 +24,12 @@
 }
 
 core::Controller* LeaderState::Access::controller_of(std::uint64_t term) const {
-    auto* const present = controller();
-    return present != nullptr && present->term() == term ? present : nullptr;
+    auto* const current = controller();
+    return current != nullptr && current->term() == term ? current : nullptr;
 }
 
-// Guard against a minute without placement: a catalog that arrived while the records were being
-// loaded found no controller to give it to, so a new one gets it here
+// Guards against a minute without placement: a catalog that arrives while the records are being
+// loaded finds no controller, so the new controller gets it here
 // (LeaderState.ACatalogReadWhileLoadingIsInstalled).
 void LeaderState::Access::install(std::unique_ptr<core::Controller> loaded,
                                   std::uint64_t leader_key_revision) {
@@ -50,8 +50,8 @@
     state_.write_requested_.notify_one();
 }
 
-void LeaderState::Access::wait_for_write_request(Milliseconds limit) {
-    state_.write_requested_.wait_for(lock_, limit, [&] { return state_.write_pending_; });
+void LeaderState::Access::wait_for_write_request(Milliseconds timeout) {
+    state_.write_requested_.wait_for(lock_, timeout, [&] { return state_.write_pending_; });
 }
 
 void LeaderState::Access::request_placement() {
@@ -59,8 +59,8 @@
     state_.placement_requested_.notify_one();
 }
 
-void LeaderState::Access::wait_for_placement_request(core::Seconds limit) {
-    state_.placement_requested_.wait_for(lock_, limit, [&] { return state_.placement_pending_; });
+void LeaderState::Access::wait_for_placement_request(core::Seconds timeout) {
+    state_.placement_requested_.wait_for(lock_, timeout, [&] { return state_.placement_pending_; });
 }
 
 }  // namespace bendspindle::state
--- a/src/state/leader_state.hpp
+++ b/src/state/leader_state.hpp
@@ -1,15 +1,17 @@
-/// What the threads of a controller share: the core while this controller is the leader, and the
-/// cloud's machine types, which followers need too.
+/// The state shared by the threads of a controller: the core while this controller is the leader,
+/// and the cloud's machine types, which followers need too.
 ///
-/// Everything that belongs to the leader is reached through `lock()` only. The lock is short: no
-/// call to another process is made under it. A thread takes what it needs, unlocks, calls, and
-/// comes back with the outcome; it then checks the term, since it may have been deposed meanwhile.
+/// The leader's state is accessible only through `lock()`. The lock is held briefly: no call to
+/// another process is made with it held. A thread copies what it needs, unlocks, makes its call,
+/// locks again and applies the outcome; it then checks the term, because the controller may have
+/// been deposed in the meantime.
 ///
 /// Lock order, outermost first: the leader mutex (here); the mutex of
-/// `leadership::CancellationReplication`; that of `leadership::LeaderElector`. The machine types'
-/// mutex (here) and that of `TerminalStateCache` are taken inside the leader mutex too, and nothing
-/// inside them. Whatever may depose this controller (`Leadership::observe_newer_term`,
-/// `learn_leader`) takes the leader mutex and is called with none of these held.
+/// `leadership::CancellationReplication`; the mutex of `leadership::LeaderElector`. The mutex of
+/// the machine types (here) and that of `TerminalStateCache` may also be taken with the leader
+/// mutex held; no other mutex is taken inside them. Functions that may depose this controller
+/// (`Leadership::observe_newer_term`, `learn_leader`) take the leader mutex and are called with
+/// none of these mutexes held.
 #pragma once
 
 #include <chrono>
@@ -38,18 +40,19 @@
     LeaderState& operator=(LeaderState&&) = delete;
     ~LeaderState() = default;
 
-    /// Waits for the leader mutex and holds it as long as the result lives. Not recursive.
+    /// Acquires the leader mutex, which the returned object holds until it is destroyed. Not
+    /// recursive.
     [[nodiscard]] Access lock();
 
-    /// The machine types of the cloud's catalog; empty until it was read. The leader plans with
-    /// them, followers judge by them what can ever run. `set_machine_types` takes the
-    /// leader mutex too, so it is not for a caller that holds `lock()`.
+    /// Returns the machine types of the cloud's catalog; empty until the catalog was read. The
+    /// leader plans with them; followers use them to reject jobs that can never run.
     [[nodiscard]] std::vector<core::MachineType> machine_types() const;
     [[nodiscard]] bool knows_machine_types() const;
+    /// Replaces the machine types. Takes the leader mutex, so the caller must not hold it.
     void set_machine_types(std::vector<core::MachineType> types);
 
   private:
-    // Guards machine_types_. Taken while holding leader_mutex_, never the other way round.
+    // Guards machine_types_. May be taken with leader_mutex_ held, but not the other way round.
     mutable std::mutex machine_types_mutex_;
     std::vector<core::MachineType> machine_types_;
 
@@ -66,56 +69,61 @@
     bool placement_pending_ = false;
 };
 
-/// The leader's state, with its mutex held. References and pointers from here are valid while the
-/// mutex is held: ask again after a wait or `relock()`.
+/// Access to the leader's state with the leader mutex held. References and pointers obtained from
+/// it are valid while the mutex is held and must be obtained again after a wait or `relock()`.
 class LeaderState::Access {
   public:
     using Milliseconds = std::chrono::milliseconds;
 
     explicit Access(LeaderState& state) : state_(state), lock_(state.leader_mutex_) {}
 
-    /// Null while another controller is the leader, or while the records are being loaded.
+    /// Returns the controller, or null while this process does not lead or loads the records.
     [[nodiscard]] core::Controller* controller() const { return state_.controller_.get(); }
-    /// The same, if it still is the one of this term.
+    /// Returns the controller if it leads in this term, otherwise null.
     [[nodiscard]] core::Controller* controller_of(std::uint64_t term) const;
 
-    /// A controller whose records were loaded begins to lead, under this revision of the leader
-    /// key.
+    /// Makes a controller whose records are loaded the leading one. `leader_key_revision` is the
+    /// mod_revision of its leader key.
     void install(std::unique_ptr<core::Controller> loaded, std::uint64_t leader_key_revision);
-    /// Deposed: those who wait for a commit are woken, and find no controller.
+    /// Removes the controller of a deposed leader and wakes the threads in `wait_for_commit`, which
+    /// then find no controller.
     void remove_controller();
-    /// Proves leadership in each write.
+    /// Returns the mod_revision of the leader key, which proves leadership in each write.
     [[nodiscard]] std::uint64_t leader_key_revision() const { return state_.leader_key_revision_; }
-    /// Of the present controller.
+    /// Returns the failover progress of the current controller.
     [[nodiscard]] std::optional<FailoverProgress>& failover_progress() const {
         return state_.failover_progress_;
     }
     [[nodiscard]] JobWatchCursor& job_watch_cursor() const { return state_.job_watch_cursor_; }
 
-    /// Wakes the state writer: the core may have records to write.
+    /// Wakes the state writer, because the core may have records to write.
     void request_write();
     [[nodiscard]] bool write_requested() const { return state_.write_pending_; }
-    /// Waits for a request, which stays until it is taken, or for so long at most.
-    void wait_for_write_request(Milliseconds limit);
+    /// Waits until a write is requested, for at most `timeout`. The request stays pending until
+    /// `take_write_request`.
+    void wait_for_write_request(Milliseconds timeout);
     void take_write_request() { state_.write_pending_ = false; }
 
-    /// Wakes the placement loop: tasks or capacity may have changed.
+    /// Wakes the placement loop, because tasks or capacity may have changed.
     void request_placement();
     [[nodiscard]] bool placement_requested() const { return state_.placement_pending_; }
-    /// As `wait_for_write_request`.
-    void wait_for_placement_request(core::Seconds limit);
+    /// Waits until placement is requested, for at most `timeout`. The request stays pending until
+    /// `take_placement_request`.
+    void wait_for_placement_request(core::Seconds timeout);
     void take_placement_request() { state_.placement_pending_ = false; }
 
-    /// Wakes those who wait in `wait_for_commit`.
+    /// Wakes the threads in `wait_for_commit`.
     void notify_committed() { state_.committed_.notify_all(); }
-    /// Waits until `ready()`, which is called with the mutex held, or for so long at most.
+    /// Waits until `ready()` returns true, for at most `timeout`. Calls `ready` with the mutex
+    /// held. Returns its last result.
     template <typename Ready>
-    bool wait_for_commit(Milliseconds limit, Ready ready) {
-        return state_.committed_.wait_for(lock_, limit, ready);
+    bool wait_for_commit(Milliseconds timeout, Ready ready) {
+        return state_.committed_.wait_for(lock_, timeout, ready);
     }
 
-    /// For a call to another process.
+    /// Releases the leader mutex for a call to another process.
     void unlock() { lock_.unlock(); }
+    /// Acquires the leader mutex again after `unlock()`.
     void relock() { lock_.lock(); }
 
   private:
--- a/src/state/state_writer.cpp
+++ b/src/state/state_writer.cpp
@@ -15,15 +15,16 @@
 using Type = core::RecordWrite::Type;
 
 constexpr milliseconds batching_time{25};
-constexpr milliseconds longest_wait{250};
-constexpr milliseconds first_pause{150};
-constexpr milliseconds longest_pause{1500};
-constexpr std::size_t most_bytes = 56 * 1024;
+constexpr milliseconds max_wait{250};
+constexpr milliseconds min_retry_delay{150};
+constexpr milliseconds max_retry_delay{1500};
+constexpr std::size_t max_job_record_bytes = 56 * 1024;
 constexpr std::chrono::seconds quarantine_time{20};
-// Of the budget of changes; the rest is for leases and leadership records.
+// The share of the store's write rate that this writer uses; the rest is for leases and leadership
+// records.
 constexpr double budget_share = 0.8;
 
-// In a transaction's body, generously.
+// Returns an upper estimate of the record's size in the body of a transaction.
 std::size_t size_in_transaction(const wire::Value& record) {
     return wire::to_cbor(record).size() * 2 + 100;
 }
@@ -36,12 +37,13 @@
     return is_job(write) ? keys::job(write.id) : keys::machine(write.id);
 }
 
-bool failed(const CasResult& result, const std::string& key) {
+bool condition_failed(const CasResult& result, const std::string& key) {
     return std::find(result.failed.begin(), result.failed.end(), key) != result.failed.end();
 }
 
-bool failed(const CasResult& result, const core::RecordWrite& write) {
-    return failed(result, key_of(write)) || (is_job(write) && failed(result, keys::over(write.id)));
+bool condition_failed(const CasResult& result, const core::RecordWrite& write) {
+    return condition_failed(result, key_of(write)) ||
+           (is_job(write) && condition_failed(result, keys::over(write.id)));
 }
 
 }  // namespace
@@ -52,7 +54,7 @@
       store_(store),
       terminal_states_(terminal_states),
       limits_(limits),
-      pause_(first_pause) {}
+      retry_delay_(min_retry_delay) {}
 
 void StateWriter::run() {
     for (;;) {
@@ -63,9 +65,9 @@
     }
 }
 
-// What comes together is written together, and within the budget.
+// Waits for a request, then for further writes to join the batch and for the write rate limit.
 void StateWriter::wait_for_writes() {
-    leader_state_.lock().wait_for_write_request(longest_wait);
+    leader_state_.lock().wait_for_write_request(max_wait);
     std::this_thread::sleep_for(batching_time);
     std::this_thread::sleep_until(next_commit_);
 }
@@ -82,28 +84,28 @@
     batch.conditions.push_back({keys::leader, access.leader_key_revision()});
     const auto now = Clock::now();
     std::erase_if(quarantined_, [&](const auto& entry) { return entry.second <= now; });
-    const auto most = limits_.txn_ops + quarantined_.size() * 2;
-    for (auto& write : controller->changes(most, now)) {
+    const auto max_writes = limits_.txn_ops + quarantined_.size() * 2;
+    for (auto& write : controller->changes(max_writes, now)) {
         if (quarantined_.contains(write.id)) continue;
-        if (add(std::move(write), batch) == Added::batch_full) break;
+        if (add(std::move(write), batch) == AddResult::batch_full) break;
     }
     batch.terminal_states = controller->sent(batch.writes);
     return batch;
 }
 
-// The first always has room.
-StateWriter::Added StateWriter::add(core::RecordWrite write, Batch& batch) const {
+// Adds a write if the batch has room. The first write always fits.
+StateWriter::AddResult StateWriter::add(core::RecordWrite write, Batch& batch) const {
     const bool replaces_open_record = write.type == Type::finish_job && write.mod_revision != 0;
     const std::size_t operations = replaces_open_record ? 2 : 1;
     const bool full = batch.operations.size() + operations > limits_.txn_ops;
-    if (!batch.writes.empty() && (full || write_one_by_one_ > 0)) return Added::batch_full;
+    if (!batch.writes.empty() && (full || single_writes_left_ > 0)) return AddResult::batch_full;
     const wire::Condition unchanged{key_of(write), write.mod_revision};
     switch (write.type) {
         case Type::put_job: {
             auto record = wire::job_record(write.job);
             batch.job_record_bytes += size_in_transaction(record);
-            if (batch.job_record_bytes > most_bytes && !batch.writes.empty())
-                return Added::batch_full;
+            if (batch.job_record_bytes > max_job_record_bytes && !batch.writes.empty())
+                return AddResult::batch_full;
             batch.conditions.push_back(unchanged);
             if (write.mod_revision == 0) batch.conditions.push_back({keys::over(write.id), 0});
             batch.operations.push_back({keys::job(write.id), std::move(record), {}});
@@ -128,7 +130,7 @@
             break;
     }
     batch.writes.push_back(std::move(write));
-    return Added::added;
+    return AddResult::added;
 }
 
 CasResult StateWriter::commit(const Batch& batch) {
@@ -136,14 +138,14 @@
                                              (limits_.writes_per_s * budget_share)};
     next_commit_ = Clock::now() + std::chrono::duration_cast<Clock::duration>(cost);
     auto result = store_.compare_and_swap(batch.conditions, batch.operations);
-    if (write_one_by_one_ > 0) --write_one_by_one_;
+    if (single_writes_left_ > 0) --single_writes_left_;
     return result;
 }
 
 void StateWriter::resolve_outcome(const Batch& batch, const CasResult& result) {
     switch (result.outcome) {
         case StoreStatus::ok:
-            pause_ = first_pause;
+            retry_delay_ = min_retry_delay;
             resolve_committed(batch, result.revision);
             return;
         case StoreStatus::conflict:
@@ -161,8 +163,8 @@
             resolve_rejected(batch);
             break;
     }
-    // Refused or unanswered: the same again.
-    pause_with_jitter();
+    // The writes were refused or got no response and are sent again.
+    wait_before_retry();
 }
 
 void StateWriter::resolve_committed(const Batch& batch, std::uint64_t revision) {
@@ -173,13 +175,14 @@
     auto* const controller = access.controller_of(batch.term);
     if (controller == nullptr) return;
     for (const auto& write : batch.writes)
-        if (write.type == Type::finish_job) access.job_watch_cursor().ended(write.id, revision);
+        if (write.type == Type::finish_job)
+            access.job_watch_cursor().record_end(write.id, revision);
     controller->committed(batch.writes, revision, Clock::now());
     access.notify_committed();
     access.request_placement();
 }
 
-// Not executed for certain: the states before hold
+// Handles writes that were certainly not executed: the former states still hold
 // (StateWriter.ARejectedTerminalStateLeavesTheFormerState).
 void StateWriter::resolve_rejected(const Batch& batch) {
     const auto access = leader_state_.lock();
@@ -187,13 +190,13 @@
         controller->rejected(batch.terminal_states);
 }
 
-// Guard against a standstill of all writing: one record that the store calls malformed, too large
-// perhaps, kept everything written with it from being recorded, for ever. The writes go one by one;
-// what is rejected alone is quarantined, and the others go on
-// (StateWriter.WritesTheOthersWhenOneIsCalledMalformed).
+// Guards against blocking all writes: one record that the store rejects as malformed, for example
+// because it is too large, kept everything in the same transaction from ever being recorded. The
+// writes are repeated one at a time; a write that is rejected alone is quarantined and the others
+// proceed (StateWriter.WritesTheOthersWhenOneIsCalledMalformed).
 void StateWriter::resolve_malformed(const Batch& batch) {
     if (batch.writes.size() > 1) {
-        write_one_by_one_ = batch.writes.size();
+        single_writes_left_ = batch.writes.size();
         return;
     }
     const auto& id = batch.writes.front().id;
@@ -201,26 +204,26 @@
     quarantined_[id] = Clock::now() + quarantine_time;
 }
 
-// With jitter, so that controllers that come back from an outage together do not call together.
-void StateWriter::pause_with_jitter() {
-    std::uniform_int_distribution<std::int64_t> jitter(0, pause_.count());
-    std::this_thread::sleep_for(pause_ + milliseconds(jitter(random_)));
-    pause_ = std::min(pause_ * 2, longest_pause);
+// Waits with jitter, so that controllers do not retry at the same time after an outage.
+void StateWriter::wait_before_retry() {
+    std::uniform_int_distribution<std::int64_t> jitter(0, retry_delay_.count());
+    std::this_thread::sleep_for(retry_delay_ + milliseconds(jitter(random_)));
+    retry_delay_ = std::min(retry_delay_ * 2, max_retry_delay);
 }
 
-// A condition did not hold: an earlier write whose answer was lost had been executed after all,
-// or another controller is the leader. Each record in question is read and reconciled.
+// Handles a failed condition: an earlier write whose response was lost had been executed after all,
+// or another controller is the leader. Reads and reconciles each record whose condition failed.
 void StateWriter::reconcile_conflict(const Batch& batch, const CasResult& result) {
-    if (failed(result, keys::leader)) {
+    if (condition_failed(result, keys::leader)) {
         io::log::info("write_rejected", "cause", "another_leader");
-        std::this_thread::sleep_for(longest_pause);
+        std::this_thread::sleep_for(max_retry_delay);
         return;
     }
     for (const auto& write : batch.writes) {
-        if (!failed(result, write)) continue;
+        if (!condition_failed(result, write)) continue;
         const auto stored = read_stored(write);
         if (!stored) return;
-        if (reconcile(write, *stored, batch.term) == Reconciled::deposed) return;
+        if (reconcile(write, *stored, batch.term) == ReconcileResult::deposed) return;
     }
 }
 
@@ -231,33 +234,35 @@
     StoredRecord stored;
     if (record.outcome == StoreStatus::ok) stored.mod_revision = record.entry.mod_revision;
     if (is_job(write)) {
-        const auto over = store_.get(keys::over(write.id));
-        if (over.outcome != StoreStatus::ok && over.outcome != StoreStatus::absent)
+        const auto terminal = store_.get(keys::over(write.id));
+        if (terminal.outcome != StoreStatus::ok && terminal.outcome != StoreStatus::absent)
             return std::nullopt;
-        if (over.outcome == StoreStatus::ok) {
-            stored.terminal_state = wire::parse_terminal_record(over.entry.value);
-            stored.terminal_mod_revision = over.entry.mod_revision;
+        if (terminal.outcome == StoreStatus::ok) {
+            stored.terminal_state = wire::parse_terminal_record(terminal.entry.value);
+            stored.terminal_mod_revision = terminal.entry.mod_revision;
         }
     }
-    // Guard: an id submitted with two bodies, at two controllers at once, ran as the one that was
-    // not recorded first (StateWriter.AnIdSubmittedWithTwoBodiesIsTheOneRecordedFirst). A record
-    // with a home was written by a leader.
+    // Guards against running the wrong job: of an id submitted with two bodies to two controllers
+    // at the same time, the job that was not recorded first ran
+    // (StateWriter.AnIdSubmittedWithTwoBodiesIsTheOneRecordedFirst). A record with a home was
+    // written by a leader.
     if (write.type == Type::put_job && record.outcome == StoreStatus::ok)
         if (auto job = wire::parse_job_record(record.entry.value); job && job->home.empty())
             stored.admitted_by_follower = std::move(*job);
     return stored;
 }
 
-StateWriter::Reconciled StateWriter::reconcile(const core::RecordWrite& write,
-                                               const StoredRecord& stored, std::uint64_t term) {
+StateWriter::ReconcileResult StateWriter::reconcile(const core::RecordWrite& write,
+                                                    const StoredRecord& stored,
+                                                    std::uint64_t term) {
     if (stored.terminal_state) terminal_states_.put(write.id, *stored.terminal_state);
     auto access = leader_state_.lock();
     auto* const controller = access.controller_of(term);
-    if (controller == nullptr) return Reconciled::deposed;
-    // Guard against went_back: users are answered with what the record says, not with what the
-    // rejected write would have said (StateWriter.TheTerminalRecordDecides).
+    if (controller == nullptr) return ReconcileResult::deposed;
+    // Guards against went_back: users get the state in the record, not the state of the rejected
+    // write (StateWriter.TheTerminalRecordDecides).
     if (stored.terminal_state) {
-        access.job_watch_cursor().ended(write.id, stored.terminal_mod_revision);
+        access.job_watch_cursor().record_end(write.id, stored.terminal_mod_revision);
         controller->finished_by_record(write.id, *stored.terminal_state, Clock::now());
     } else if (stored.admitted_by_follower) {
         controller->adopt_existing_record(*stored.admitted_by_follower, stored.mod_revision,
@@ -266,7 +271,7 @@
         controller->set_mod_revision(write.type, write.id, stored.mod_revision);
     }
     access.notify_committed();
-    return Reconciled::yes;
+    return ReconcileResult::reconciled;
 }
 
 }  // namespace bendspindle::state
--- a/src/state/state_writer.hpp
+++ b/src/state/state_writer.hpp
@@ -1,11 +1,12 @@
-/// The one writer of the leader's records: gathers what several requests need into one transaction.
+/// The only writer of the leader's records: combines the writes of several requests in one
+/// transaction.
 ///
 /// `core::Controller` holds the queue of writes; this class commits them. A transaction is
 /// conditional on the leader key, so a deposed leader's late write fails, and on each record's
-/// mod_revision. An outcome that is unknown is sent again and, if it was executed after all,
-/// reconciled with the records.
+/// mod_revision. A transaction with an unknown outcome is sent again and, if it had been executed,
+/// its writes are reconciled with the records.
 ///
-/// `run` has a thread of its own and is the only user of the members without a lock. It calls the
+/// `run` has its own thread, the only one that uses the members that no lock guards. It calls the
 /// store without the leader mutex.
 #pragma once
 
@@ -25,13 +26,13 @@
 
 namespace bendspindle::state {
 
-/// Commits records for as long as the process lives, whoever is the leader.
+/// A writer that runs until the process ends and commits records while this controller leads.
 class StateWriter {
   public:
-    /// All of these outlive it.
+    /// The referenced objects must outlive the writer.
     StateWriter(LeaderState& leader_state, KeyValueStore& store,
                 TerminalStateCache& terminal_states, config::StateLimits limits);
-    /// Runs until the process ends.
+    /// Commits pending writes. Does not return.
     void run();
 
   private:
@@ -44,46 +45,46 @@
         std::vector<wire::Condition> conditions;
         std::vector<wire::Operation> operations;
         std::size_t job_record_bytes = 0;
-        // Jobs whose terminal state is sent for the first time.
+        // Ids of the jobs whose terminal state is sent for the first time.
         std::vector<std::string> terminal_states;
     };
-    enum class Added : std::uint8_t { added, batch_full };
+    enum class AddResult : std::uint8_t { added, batch_full };
 
-    // What the store holds where a condition did not hold.
+    // The stored state of a record whose condition did not hold.
     struct StoredRecord {
         std::uint64_t mod_revision = 0;  // 0: no such record
         std::optional<core::JobRecord> admitted_by_follower;
         std::optional<core::TerminalState> terminal_state;
         std::uint64_t terminal_mod_revision = 0;
     };
-    enum class Reconciled : std::uint8_t { yes, deposed };
+    enum class ReconcileResult : std::uint8_t { reconciled, deposed };
 
     void wait_for_writes();
     Batch collect_batch();
-    Added add(core::RecordWrite write, Batch& batch) const;
+    AddResult add(core::RecordWrite write, Batch& batch) const;
     CasResult commit(const Batch& batch);
 
     void resolve_outcome(const Batch& batch, const CasResult& result);
     void resolve_committed(const Batch& batch, std::uint64_t revision);
     void resolve_rejected(const Batch& batch);
     void resolve_malformed(const Batch& batch);
-    void pause_with_jitter();
+    void wait_before_retry();
 
     void reconcile_conflict(const Batch& batch, const CasResult& result);
-    // None: the store does not answer.
+    // Returns nothing if the store does not answer.
     std::optional<StoredRecord> read_stored(const core::RecordWrite& write);
-    Reconciled reconcile(const core::RecordWrite& write, const StoredRecord& stored,
-                         std::uint64_t term);
+    ReconcileResult reconcile(const core::RecordWrite& write, const StoredRecord& stored,
+                              std::uint64_t term);
 
     LeaderState& leader_state_;
     KeyValueStore& store_;
     TerminalStateCache& terminal_states_;
     const config::StateLimits limits_;
     Clock::time_point next_commit_{};
-    Milliseconds pause_;
+    Milliseconds retry_delay_;
     std::mt19937 random_{std::random_device{}()};
-    std::size_t write_one_by_one_ = 0;  // so many of the next writes
-    // By id of job or name of machine, with when they are tried again.
+    std::size_t single_writes_left_ = 0;  // transactions still to be limited to one write
+    // Job id or machine name to the time of the next attempt.
     std::map<std::string, Clock::time_point> quarantined_;
 };
 
--- a/tests/leader_state_test.cpp
+++ b/tests/leader_state_test.cpp
@@ -1,4 +1,5 @@
-// What the threads of a controller share: the order in which catalog and records arrive.
+// Tests of the state shared by the threads of a controller: the catalog and the records may arrive
+// in any order.
 #include "state/leader_state.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +17,7 @@
     return type;
 }
 
-std::unique_ptr<core::Controller> loaded() {
+std::unique_ptr<core::Controller> make_controller() {
     core::Config config;
     config.zones = {"a"};
     config.teams = {{"red", {}, {}}};
@@ -31,11 +32,11 @@
     return spec;
 }
 
-// Guard: a catalog that came between the loading of the records and the installing of the new
-// controller was lost to it, and for a minute nothing was placed.
+// Guards against a minute without placement: a new controller did not get a catalog that arrived
+// between the loading of its records and its installation.
 TEST(LeaderState, ACatalogReadWhileLoadingIsInstalled) {
     LeaderState leader_state;
-    auto controller = loaded();
+    auto controller = make_controller();
     leader_state.set_machine_types({some_type()});
     auto access = leader_state.lock();
     access.install(std::move(controller), 7);
@@ -47,7 +48,7 @@
     LeaderState leader_state;
     {
         auto access = leader_state.lock();
-        access.install(loaded(), 7);
+        access.install(make_controller(), 7);
         EXPECT_EQ(access.controller()->check(some_job()), core::Verdict::not_ready);
     }
     leader_state.set_machine_types({some_type()});
@@ -55,10 +56,11 @@
     EXPECT_EQ(access.controller()->check(some_job()), core::Verdict::fits);
 }
 
-// Guard against an answer that goes back: a former incarnation may still answer "running" for
-// a job answered as ended, so no terminal state is recorded before that one must have stopped.
+// Guards against an outdated response: a former incarnation of the controller may still return
+// "running" for an ended job, so no terminal state is recorded before that incarnation must have
+// stopped.
 TEST(TerminalStates, AreNotRecordedWhileAFormerIncarnationMayStillAnswer) {
-    const auto controller = loaded();
+    const auto controller = make_controller();
     controller->set_types({some_type()});
     const core::TimePoint now{std::chrono::hours(1)};
     controller->accept(some_job(), core::WallTime{}, now);
@@ -72,63 +74,64 @@
     EXPECT_EQ(due[0].type, core::RecordWrite::Type::finish_job);
 }
 
-// Guard against went_back: a late event of a job that had ended began it again once the cache of
-// ended jobs had forgotten it.
+// Guards against went_back: a late event of an ended job restarted the job once the cache of
+// terminal states had evicted it.
 TEST(JobWatchCursor, ALateEventAdoptsNoEndedJob) {
     JobWatchCursor cursor;
     cursor.begin(10);
-    EXPECT_FALSE(cursor.is_new("job-1", 10));  // read when the records were, or over by then
+    EXPECT_FALSE(cursor.is_new("job-1", 10));  // loaded with the records, or ended before
     EXPECT_TRUE(cursor.is_new("job-1", 11));
-    cursor.ended("job-1", 15);
+    cursor.record_end("job-1", 15);
     EXPECT_FALSE(cursor.is_new("job-1", 11));
-    cursor.reached(14);
+    cursor.advance_to(14);
     EXPECT_FALSE(cursor.is_new("job-1", 11));
     EXPECT_TRUE(cursor.is_new("job-2", 15));
-    cursor.reached(15);
+    cursor.advance_to(15);
     EXPECT_FALSE(cursor.is_new("job-1", 11));
     EXPECT_EQ(cursor.revision(), 15U);
-    // A listing's own revision may be older than an event that came before it.
-    cursor.reached(12);
+    // A listing's revision may be older than an event that arrived before it.
+    cursor.advance_to(12);
     EXPECT_EQ(cursor.revision(), 15U);
     EXPECT_FALSE(cursor.is_new("job-1", 11));
-    // Another controller's records begin anew.
+    // A new controller has loaded the records again.
     cursor.begin(20);
     EXPECT_FALSE(cursor.is_new("job-2", 20));
     EXPECT_TRUE(cursor.is_new("job-2", 21));
 }
 
-// Two incarnations of a process may begin in the same millisecond: no name may come from a clock.
+// Two incarnations of a process may start in the same millisecond, so no name may be derived from a
+// clock.
 TEST(Names, ALaterTermSharesNoneWithTheOneBefore) {
     core::Config config;
     config.zones = {"a"};
     config.teams = {{"red", {}, {}}};
     const core::MachineCatalog catalog;
     core::MachineInventory fleet(config, catalog);
-    core::JobTable elder(fleet, 1);
-    core::JobTable younger(fleet, 2);
+    core::JobTable earlier(fleet, 1);
+    core::JobTable later(fleet, 2);
     std::uint64_t last = 0;
-    for (int i = 0; i < 1000; ++i) last = elder.next_attempt();
-    EXPECT_GT(younger.next_attempt(), last);
+    for (int i = 0; i < 1000; ++i) last = earlier.next_attempt();
+    EXPECT_GT(later.next_attempt(), last);
 
-    const core::TimePoint still{std::chrono::hours(1)};
+    const core::TimePoint now{std::chrono::hours(1)};
     std::set<std::string> names;
     for (const std::uint64_t term : {1, 2}) {
         core::Controller controller(config, term);
         controller.set_types({some_type()});
-        controller.accept(some_job(), core::WallTime{}, still);
-        controller.committed(controller.changes(10, still), 1, still);
-        const auto plan = controller.plan_scaling(still);
+        controller.accept(some_job(), core::WallTime{}, now);
+        controller.committed(controller.changes(10, now), 1, now);
+        const auto plan = controller.plan_scaling(now);
         ASSERT_FALSE(plan.scale_out.empty());
         for (const auto& request : plan.scale_out)
             EXPECT_TRUE(names.insert(request.request).second) << request.request;
     }
 }
 
-// Guard against ran_cancelled: a leader that no longer renews leases went on starting by direct
-// command, in its agents' next epochs, what another controller had cancelled.
+// Guards against ran_cancelled: a leader that no longer renewed leases kept starting tasks by
+// direct command, in the next epochs of its agents, whose job another controller had cancelled.
 TEST(DirectCommands, ALeaderThatMayNotRenewStartsNothing) {
     const auto now = core::TimePoint{std::chrono::hours(1)};
-    auto controller = loaded();
+    auto controller = make_controller();
     controller->set_types({some_type()});
     core::Heartbeat heartbeat;
     heartbeat.machine = "m1";
--- a/tests/state_writer_test.cpp
+++ b/tests/state_writer_test.cpp
@@ -1,4 +1,5 @@
-// Writing records, against a stand-in of the key-value store that calls some of them malformed.
+// Tests of the state writer and of job admission against a stand-in for the key-value store, which
+// rejects some records as malformed.
 #include "state/state_writer.hpp"
 
 #include <gtest/gtest.h>
@@ -27,9 +28,9 @@
     return spec;
 }
 
-// What a writing thread uses lives as long as the process, as in the service.
-struct Writing {
-    explicit Writing(int port) : service(port), store({"127.0.0.1", port}) {}
+// The objects that the writing threads use. They live until the process ends, as in the service.
+struct WriterFixture {
+    explicit WriterFixture(int port) : service(port), store({"127.0.0.1", port}) {}
     standin::StateService service;
     HttpKeyValueStore store;
     LeaderState leader_state;
@@ -38,26 +39,27 @@
     JobAdmission admission{store, limits};
 };
 
-Writing& writing() {
-    static auto* all = [] {
-        auto* made = new Writing(21000 + static_cast<int>(::getpid() % 1000));
-        std::thread([made] { made->writer.run(); }).detach();
-        std::thread([made] { made->admission.run(); }).detach();
-        return made;
+WriterFixture& writer_fixture() {
+    static auto* instance = [] {
+        auto* created = new WriterFixture(21000 + static_cast<int>(::getpid() % 1000));
+        std::thread([created] { created->writer.run(); }).detach();
+        std::thread([created] { created->admission.run(); }).detach();
+        return created;
     }();
-    return *all;
+    return *instance;
 }
 
-// Guard: one record that the service calls malformed kept all others from being written, for ever.
+// Guards against blocked writes: one record that the service rejected as malformed kept all others
+// from ever being written.
 TEST(StateWriter, WritesTheOthersWhenOneIsCalledMalformed) {
-    auto& w = writing();
-    w.service.refuse("job/job-2");
-    const auto lease = w.store.grant_lease(60s);
+    auto& fixture = writer_fixture();
+    fixture.service.refuse("job/job-2");
+    const auto lease = fixture.store.grant_lease(60s);
     ASSERT_TRUE(lease);
     const auto leader =
-        w.store.compare_and_swap({}, {{keys::leader, wire::Value{{"name", "a"}}, lease}});
+        fixture.store.compare_and_swap({}, {{keys::leader, wire::Value{{"name", "a"}}, lease}});
     {
-        auto access = w.leader_state.lock();
+        auto access = fixture.leader_state.lock();
         core::Config config;
         config.zones = {"a"};
         config.teams = {{"red", {}, {}}};
@@ -66,7 +68,7 @@
             access.controller()->accept(job(id), core::WallTime{}, Clock::now());
         access.request_write();
     }
-    auto access = w.leader_state.lock();
+    auto access = fixture.leader_state.lock();
     const bool written = access.wait_for_commit(10s, [&] {
         return access.controller()->durable("job-1") && access.controller()->durable("job-3") &&
                access.controller()->durable("job-4");
@@ -76,15 +78,16 @@
     access.remove_controller();
 }
 
-// Guard against went_back: the terminal state was recorded late, behind a write that got no answer;
-// who read the record answered so, and the leader went on answering "running" or "queued".
+// Guards against went_back: a terminal state was committed late, by a write that got no response.
+// Controllers that read the record returned it, while the leader still returned "running" or
+// "queued".
 TEST(StateWriter, ALateTerminalStateIsNotFollowedByAnOlderState) {
-    auto& w = writing();
-    const auto lease = w.store.grant_lease(60s);
+    auto& fixture = writer_fixture();
+    const auto lease = fixture.store.grant_lease(60s);
     ASSERT_TRUE(lease);
     const auto leader =
-        w.store.compare_and_swap({}, {{keys::leader, wire::Value{{"name", "a"}}, lease}});
-    auto access = w.leader_state.lock();
+        fixture.store.compare_and_swap({}, {{keys::leader, wire::Value{{"name", "a"}}, lease}});
+    auto access = fixture.leader_state.lock();
     core::Config config;
     config.zones = {"a"};
     config.teams = {{"red", {}, {}}};
@@ -93,21 +96,21 @@
     access.request_write();
     ASSERT_TRUE(access.wait_for_commit(10s, [&] { return access.controller()->durable("job-8"); }));
 
-    // The first is carried out while the second, its repeat, is waited for.
-    w.service.hold({2200ms, 4000ms});
+    // The first transaction is executed while the writer waits for the second one, its repeat.
+    fixture.service.hold({2200ms, 4000ms});
     access.controller()->cancel("job-8", Clock::now());
     access.request_write();
     int read_as_ended = 0;
     core::TerminalState answered = core::TerminalState::none;
     for (const auto until = Clock::now() + 15s; Clock::now() < until;) {
         access.unlock();
-        const bool over = w.store.get(keys::over("job-8")).outcome == StoreStatus::ok;
+        const bool ended = fixture.store.get(keys::over("job-8")).outcome == StoreStatus::ok;
         std::this_thread::sleep_for(20ms);
         access.relock();
         const auto status = access.controller()->status("job-8");
-        answered = w.terminal_states.get("job-8").value_or(core::TerminalState::none);
+        answered = fixture.terminal_states.get("job-8").value_or(core::TerminalState::none);
         if (answered == core::TerminalState::cancelled) break;
-        if (!over) continue;
+        if (!ended) continue;
         ++read_as_ended;
         EXPECT_FALSE(status && status->terminal_state == core::TerminalState::none);
     }
@@ -116,7 +119,7 @@
     access.remove_controller();
 }
 
-// What was refused was not carried out: the state before holds and is answered.
+// A refused write was not executed: the former state still holds and is returned.
 TEST(StateWriter, ARejectedTerminalStateLeavesTheFormerState) {
     core::Config config;
     config.zones = {"a"};
@@ -130,7 +133,7 @@
     EXPECT_FALSE(controller.status("job-9"));
     controller.rejected(first);
     ASSERT_TRUE(controller.status("job-9"));
-    // After one that got no answer a refused repeat proves nothing.
+    // If an earlier attempt got no response, the refusal of its repeat proves nothing.
     controller.sent(controller.changes(8, Clock::now()));
     controller.rejected(controller.sent(controller.changes(8, Clock::now())));
     EXPECT_FALSE(controller.status("job-9"));
@@ -138,22 +141,22 @@
     EXPECT_FALSE(controller.knows("job-9"));
 }
 
-// Guard against went_back: a job held as cancelled whose record says that it is done was answered
-// as cancelled here, and as done by everybody else.
+// Guards against went_back: the leader held a job as cancelled whose record said that it was done;
+// the leader returned "cancelled" and all other controllers returned "done".
 TEST(StateWriter, TheTerminalRecordDecides) {
-    auto& w = writing();
-    const auto lease = w.store.grant_lease(60s);
+    auto& fixture = writer_fixture();
+    const auto lease = fixture.store.grant_lease(60s);
     ASSERT_TRUE(lease);
     const auto leader =
-        w.store.compare_and_swap({}, {{keys::leader, wire::Value{{"name", "a"}}, lease}});
+        fixture.store.compare_and_swap({}, {{keys::leader, wire::Value{{"name", "a"}}, lease}});
     core::JobRecord record;
     record.spec = job("job-10");
     record.spec.kind = core::Kind::service;
     record.last_attempt = 7;
     record.home = "a";
-    const auto put = w.store.compare_and_swap(
+    const auto put = fixture.store.compare_and_swap(
         {}, {{keys::job("job-10"), wire::job_record(record), std::nullopt}});
-    auto access = w.leader_state.lock();
+    auto access = fixture.leader_state.lock();
     core::Config config;
     config.zones = {"a"};
     config.teams = {{"red", {}, {}}};
@@ -176,33 +179,33 @@
     controller->heartbeat(heartbeat, Clock::now());
     ASSERT_EQ(controller->status("job-10")->running, 1U);
     access.install(std::move(controller), leader.revision);
-    const wire::Value over{{"final", "done"}};
-    w.store.compare_and_swap(
-        {}, {{keys::job("job-10"), std::nullopt, {}}, {keys::over("job-10"), over, {}}});
+    const wire::Value terminal{{"final", "done"}};
+    fixture.store.compare_and_swap(
+        {}, {{keys::job("job-10"), std::nullopt, {}}, {keys::over("job-10"), terminal, {}}});
     access.controller()->cancel("job-10", Clock::now());
     access.request_write();
-    ASSERT_TRUE(
-        access.wait_for_commit(10s, [&] { return w.terminal_states.get("job-10").has_value(); }));
-    EXPECT_EQ(w.terminal_states.get("job-10"), core::TerminalState::done);
-    // Its task is still there, and so is the job.
+    ASSERT_TRUE(access.wait_for_commit(
+        10s, [&] { return fixture.terminal_states.get("job-10").has_value(); }));
+    EXPECT_EQ(fixture.terminal_states.get("job-10"), core::TerminalState::done);
+    // The job's task still runs, so the controller still knows the job.
     const auto status = access.controller()->status("job-10");
     ASSERT_TRUE(status);
     EXPECT_EQ(status->terminal_state, core::TerminalState::done);
     access.remove_controller();
 }
 
-// Guard: of an id sent with two bodies, to two controllers, the one that was accepted first is the
-// job. The other one was run under its name.
+// Guards against running the wrong job: if an id is submitted with two bodies to two controllers,
+// the job is the one that was accepted first. The other one ran under that id.
 TEST(StateWriter, AnIdSubmittedWithTwoBodiesIsTheOneRecordedFirst) {
-    auto& w = writing();
-    const auto lease = w.store.grant_lease(60s);
+    auto& fixture = writer_fixture();
+    const auto lease = fixture.store.grant_lease(60s);
     ASSERT_TRUE(lease);
     const auto leader =
-        w.store.compare_and_swap({}, {{keys::leader, wire::Value{{"name", "a"}}, lease}});
+        fixture.store.compare_and_swap({}, {{keys::leader, wire::Value{{"name", "a"}}, lease}});
     core::JobRecord first;
     first.spec = job("job-11");
-    ASSERT_EQ(w.admission.admit(first).outcome, JobAdmission::Result::admitted);
-    auto access = w.leader_state.lock();
+    ASSERT_EQ(fixture.admission.admit(first).outcome, JobAdmission::Result::admitted);
+    auto access = fixture.leader_state.lock();
     core::Config config;
     config.zones = {"a"};
     config.teams = {{"red", {}, {}}};
@@ -219,9 +222,11 @@
     access.remove_controller();
 }
 
+// Guards against failed admissions: one record that the service rejects as malformed must not keep
+// the others from being admitted.
 TEST(JobAdmission, AdmitsTheOthersWhenOneIsCalledMalformed) {
-    auto& w = writing();
-    w.service.refuse("job/job-6");
+    auto& fixture = writer_fixture();
+    fixture.service.refuse("job/job-6");
     std::vector<std::thread> users;
     std::map<std::string, JobAdmission::Result> outcomes;
     std::mutex mutex;
@@ -229,7 +234,7 @@
         users.emplace_back([&, id] {
             core::JobRecord record;
             record.spec = job(id);
-            const auto outcome = w.admission.admit(std::move(record)).outcome;
+            const auto outcome = fixture.admission.admit(std::move(record)).outcome;
             const std::lock_guard lock(mutex);
             outcomes[id] = outcome;
         });
