--- a/src/api/health.cpp
+++ b/src/api/health.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-// The leader announces itself each second, and the store is called each second.
-constexpr std::chrono::milliseconds cut_off_after{2500};
-constexpr std::chrono::seconds contact_valid_for{6};
+// The leader announces itself every second, and the store is called every second.
+constexpr std::chrono::milliseconds partition_timeout{2500};
+constexpr std::chrono::seconds contact_timeout{6};
 
 }  // namespace
 
@@ -17,14 +17,14 @@
 bool Health::healthy() const {
     if (!leader_state_.knows_machine_types()) return false;
     const auto now = Clock::now();
-    // Guard against users held by a controller that can admit nothing: the leader reaches the store
-    // and announces itself, this one does not reach it. In an outage of the store no leader
-    // announces itself.
-    if (now - store_.last_success() > cut_off_after &&
-        now - leader_announced_at_.load() < cut_off_after)
+    // Guards against sending users to a controller that can admit nothing: the leader reaches the
+    // store and announces itself, but this controller does not reach the store. During an outage of
+    // the store no leader announces itself.
+    if (now - store_.last_success() > partition_timeout &&
+        now - leader_announced_at_.load() < partition_timeout)
         return false;
-    return now - store_.last_success() < contact_valid_for ||
-           now - peers_.last_contact() < contact_valid_for;
+    return now - store_.last_success() < contact_timeout ||
+           now - peers_.last_contact() < contact_timeout;
 }
 
 }  // namespace bendspindle::api
--- a/src/api/health.hpp
+++ b/src/api/health.hpp
@@ -1,6 +1,6 @@
-/// Whether this controller can serve users, for the load balancer's health check.
+/// The health of this controller, for the health check of the load balancer.
 ///
-/// Owns when the leader was last heard. Safe for any thread.
+/// Owns the time of the leader's last announcement. Thread-safe.
 #pragma once
 
 #include <atomic>
@@ -12,16 +12,16 @@
 
 namespace bendspindle::api {
 
-/// The health rule, and what it judges by.
+/// The health rule and the data that it evaluates.
 class Health {
   public:
-    /// All of these outlive it.
+    /// The referenced objects must outlive the instance.
     Health(const state::LeaderState& leader_state, const state::KeyValueStore& store,
            const leadership::Peers& peers);
 
-    /// The leader has announced itself.
-    void leader_announced() { leader_announced_at_ = Clock::now(); }
-    /// Whether the load balancer may send users here.
+    /// Records that the leader has announced itself.
+    void record_leader_announcement() { leader_announced_at_ = Clock::now(); }
+    /// Returns whether the load balancer may send users to this controller.
     [[nodiscard]] bool healthy() const;
 
   private:
--- a/src/api/job_cancellation.cpp
+++ b/src/api/job_cancellation.cpp
@@ -49,8 +49,8 @@
         return wire::unavailable("the other controllers cannot be told");
     if (auto response = cancel_replicated(id, term)) return *response;
     if (auto response = records_.from_terminal_cache(id, TaskCounts::omitted)) return *response;
-    // Its write may have been executed without an answer.
-    if (auto response = records_.read_paced(id, TaskCounts::omitted);
+    // The write of the terminal record may have been executed although its response was lost.
+    if (auto response = records_.read_rate_limited(id, TaskCounts::omitted);
         wire::terminal_state_in_status(response.body))
         return response;
     return wire::unavailable("the cancellation could not be recorded in time");
@@ -70,18 +70,19 @@
     auto access = leader_state_.lock();
     auto* const controller = access.controller_of(term);
     if (controller == nullptr) return wire::unavailable("taking over");
-    // Guard against ran_cancelled: a former leader that reaches neither the store nor this one
-    // renewed the leases of its agents through an outage, and nobody was left to end them. With
-    // enough peers that know the leader it finds no majority to prove its leadership.
+    // Guards against ran_cancelled: a former leader that reached neither the store nor this
+    // controller kept renewing the leases of its agents during an outage, and no controller was
+    // left to stop their tasks. Once enough peers know the new leader, the former one finds no
+    // majority to prove its leadership.
     if (controller->may_have_unfenced_tasks(id) && !replication_.acknowledged_by_quorum())
         return wire::unavailable("the other controllers are being told who acts");
     controller->cancel(id, std::chrono::steady_clock::now());
-    access.request_placement();  // its stops go out at once
+    access.request_placement();  // so that the stop commands are sent at once
     access.request_write();
-    access.wait_for_commit(commit_limit, [&] {
-        const auto* const present = access.controller();
-        if (present == nullptr || !present->knows(id)) return true;
-        const auto status = present->status(id);
+    access.wait_for_commit(commit_timeout, [&] {
+        const auto* const current = access.controller();
+        if (current == nullptr || !current->knows(id)) return true;
+        const auto status = current->status(id);
         return status && status->terminal_state != core::TerminalState::none;
     });
     return std::nullopt;
--- a/src/api/job_cancellation.hpp
+++ b/src/api/job_cancellation.hpp
@@ -1,9 +1,9 @@
-/// The request to cancel a job.
+/// The handler of requests to cancel a job.
 ///
-/// Confirmed only once enough peers know of the cancellation and its terminal record is committed:
-/// from then on the job's tasks end whichever controller is lost (docs/failure-modes.md, "What a
-/// confirmed cancellation needs"). A follower forwards to the leader. Called on the threads of the
-/// HTTP server and of the peer server, any number at once.
+/// A cancellation is confirmed only once enough peers know of it and its terminal record is
+/// committed: from then on the job's tasks end whichever controller fails (docs/failure-modes.md,
+/// "What a confirmed cancellation needs"). A follower forwards the request to the leader. Called
+/// concurrently on the threads of the HTTP server and of the peer server.
 #pragma once
 
 #include <optional>
@@ -20,24 +20,24 @@
 
 namespace bendspindle::api {
 
-/// Cancels as leader, forwards as follower.
+/// A handler that cancels jobs on the leader and forwards requests on a follower.
 class JobCancellationHandler {
   public:
-    /// All of these outlive it.
+    /// The referenced objects must outlive the handler.
     JobCancellationHandler(leadership::Leadership& leadership, leadership::Peers& peers,
                            leadership::CancellationReplication& replication,
                            state::LeaderState& leader_state, state::JobWatch& job_watch,
                            JobRecords& records);
 
-    /// 200 with the terminal state, which need not be cancelled; 404 for no such job, or 503. What
-    /// a peer forwards is not forwarded again.
+    /// Returns 200 with the job's terminal state, which may be another one than cancelled, 404 if
+    /// there is no such job, or 503. A request that a peer has forwarded is not forwarded again.
     [[nodiscard]] wire::Response handle(const std::string& id, agents::RequestOrigin origin);
 
   private:
     wire::Response cancel_as_leader(const std::string& id);
-    /// None: the leader knows the job now.
+    /// Returns nothing if the leader knows the job afterwards.
     std::optional<wire::Response> adopt_unknown(const std::string& id, std::uint64_t term);
-    /// None: the core has cancelled it, and its record was waited for.
+    /// Returns nothing after the core has cancelled the job and the wait for its record is over.
     std::optional<wire::Response> cancel_replicated(const std::string& id, std::uint64_t term);
 
     leadership::Leadership& leadership_;
--- a/src/api/job_records.cpp
+++ b/src/api/job_records.cpp
@@ -13,9 +13,9 @@
 
 using Clock = std::chrono::steady_clock;
 
-// An open job's state that was asked for longer ago is read once more before it is answered: this
-// controller may have been suspended, and others have answered with newer states meanwhile.
-constexpr std::chrono::milliseconds fresh_for{500};
+// The state of an open job that was requested longer ago is read again before it is returned: this
+// controller may have been suspended while others returned newer states.
+constexpr std::chrono::milliseconds max_state_age{500};
 
 core::JobStatus status_of(core::TerminalState terminal_state) {
     return core::JobStatus{terminal_state, 0, 0};
@@ -35,16 +35,16 @@
             wire::status_body(id, status, counts == TaskCounts::included)};
 }
 
-bool may_be_outdated(const wire::Response& response, Clock::time_point asked) {
-    if (Clock::now() - asked <= fresh_for) return false;
+bool may_be_outdated(const wire::Response& response, Clock::time_point requested_at) {
+    if (Clock::now() - requested_at <= max_state_age) return false;
     if (response.status == wire::http_status::not_found) return true;
     return response.status == wire::http_status::ok &&
            !wire::terminal_state_in_status(response.body);
 }
 
 JobRecords::JobRecords(state::KeyValueStore& store, state::TerminalStateCache& terminal_states,
-                       TokenBucket polls)
-    : store_(store), terminal_states_(terminal_states), polls_(polls) {}
+                       TokenBucket poll_limit)
+    : store_(store), terminal_states_(terminal_states), poll_limit_(poll_limit) {}
 
 std::optional<wire::Response> JobRecords::from_terminal_cache(const std::string& id,
                                                               TaskCounts counts) const {
@@ -53,35 +53,35 @@
     return status_response(id, status_of(*terminal_state), counts);
 }
 
-void JobRecords::remember_terminal_state(const std::string& id, const wire::Response& response) {
+void JobRecords::cache_terminal_state(const std::string& id, const wire::Response& response) {
     if (const auto terminal_state = wire::terminal_state_in_status(response.body))
         terminal_states_.put(id, *terminal_state);
 }
 
-// Guard against lost leases under a flood of polls: without a leader each poll reads records, and
-// the store refused renewals and writes together with them.
-wire::Response JobRecords::read_paced(const std::string& id, TaskCounts counts) {
+// Guards against losing leases under a flood of polls: without a leader each poll reads records,
+// and the store refused lease renewals and writes along with the reads.
+wire::Response JobRecords::read_rate_limited(const std::string& id, TaskCounts counts) {
     {
-        const std::lock_guard lock(polls_mutex_);
-        if (!polls_.take(Clock::now())) return wire::unavailable("too many questions at once");
+        const std::lock_guard lock(poll_limit_mutex_);
+        if (!poll_limit_.take(Clock::now())) return wire::unavailable("too many questions at once");
     }
     return read(id, counts);
 }
 
-wire::Response JobRecords::read_paced_of_open_job(const std::string& id, TaskCounts counts) {
-    auto response = read_paced(id, counts);
+wire::Response JobRecords::read_open_job_rate_limited(const std::string& id, TaskCounts counts) {
+    auto response = read_rate_limited(id, counts);
     return response.status == wire::http_status::not_found
                ? wire::unavailable("the job is being recorded")
                : response;
 }
 
 wire::Response JobRecords::read(const std::string& id, TaskCounts counts) {
-    const auto asked = Clock::now();
+    const auto requested_at = Clock::now();
     auto response = read_once(id, counts);
-    return may_be_outdated(response, asked) ? read_once(id, counts) : response;
+    return may_be_outdated(response, requested_at) ? read_once(id, counts) : response;
 }
 
-// The open record is read first: a job that ends between the two reads is found by the second.
+// Reads the open record first, so that the second read finds a job that ends between the two.
 wire::Response JobRecords::read_once(const std::string& id, TaskCounts counts) {
     const auto open = store_.get(state::keys::job(id));
     if (open.outcome == state::StoreStatus::absent) return read_terminal_record(id, counts);
@@ -93,12 +93,12 @@
 }
 
 wire::Response JobRecords::read_terminal_record(const std::string& id, TaskCounts counts) {
-    const auto over = store_.get(state::keys::over(id));
-    if (over.outcome == state::StoreStatus::absent)
+    const auto terminal = store_.get(state::keys::over(id));
+    if (terminal.outcome == state::StoreStatus::absent)
         return {wire::http_status::not_found, 0, wire::error_body("no such job")};
-    if (over.outcome != state::StoreStatus::ok)
+    if (terminal.outcome != state::StoreStatus::ok)
         return wire::unavailable("the state service does not answer");
-    const auto terminal_state = wire::parse_terminal_record(over.entry.value);
+    const auto terminal_state = wire::parse_terminal_record(terminal.entry.value);
     if (!terminal_state) return wire::unavailable("the record cannot be read");
     terminal_states_.put(id, *terminal_state);
     return status_response(id, status_of(*terminal_state), counts);
--- a/src/api/job_records.hpp
+++ b/src/api/job_records.hpp
@@ -1,8 +1,9 @@
-/// Answers about a job from its records in the key-value store, for what no controller's memory can
-/// answer: the leader is unknown, or the leader may not answer from memory.
+/// Reads a job's state from its records in the key-value store, for requests that no controller can
+/// answer from memory: the leader is unknown, or the leader may not answer from memory.
 ///
-/// Owns the pace at which polls may read the store. Used by the handlers of users' requests, on
-/// their threads; safe for any of them. Calls the store: never under the leader mutex.
+/// Owns the rate limit for reads of the store that polls cause. Used by the handlers of user
+/// requests on their threads. Thread-safe. Calls the store, so the caller must not hold the leader
+/// mutex.
 #pragma once
 
 #include <chrono>
@@ -18,38 +19,42 @@
 
 namespace bendspindle::api {
 
-/// Whether an answer counts tasks besides the job's state.
+/// Whether a response includes task counts besides the job's state.
 enum class TaskCounts : std::uint8_t { omitted, included };
 
-/// 200 with a job's status.
+/// Returns a 200 response with a job's status.
 [[nodiscard]] wire::Response status_response(const std::string& id, const core::JobStatus& status,
                                              TaskCounts counts);
 
-/// Whether others may have answered with a newer state than this response's since it was asked for.
-/// Terminal states do not change.
+/// Returns whether other controllers may have returned a newer state than this response since
+/// `requested_at`. False for terminal states, which do not change.
 [[nodiscard]] bool may_be_outdated(const wire::Response& response,
-                                   std::chrono::steady_clock::time_point asked);
+                                   std::chrono::steady_clock::time_point requested_at);
 
-/// Reads the records of one job at a time.
+/// A reader of the records of single jobs.
 class JobRecords {
   public:
-    /// `polls`: the reads of the store that polls may cause.
+    /// `poll_limit` limits the rate of reads of the store that polls cause.
     JobRecords(state::KeyValueStore& store, state::TerminalStateCache& terminal_states,
-               TokenBucket polls);
+               TokenBucket poll_limit);
 
-    /// The answer for a job known to have ended; costs no read.
+    /// Returns the response for a job whose terminal state is cached, otherwise nothing. Does not
+    /// read the store.
     [[nodiscard]] std::optional<wire::Response> from_terminal_cache(const std::string& id,
                                                                     TaskCounts counts) const;
-    /// Keeps the terminal state that a response has, if it has one.
-    void remember_terminal_state(const std::string& id, const wire::Response& response);
+    /// Caches the terminal state in a response, if it contains one.
+    void cache_terminal_state(const std::string& id, const wire::Response& response);
 
-    /// 200, 404 for no such job, or 503. Not outdated: reads once more if the first took long.
+    /// Returns 200 with the job's status, 404 if there is no such job, or 503. Reads a second time
+    /// if the first read took long, so that the status is not outdated.
     [[nodiscard]] wire::Response read(const std::string& id, TaskCounts counts);
-    /// The same within the pace for polls, or 503.
-    [[nodiscard]] wire::Response read_paced(const std::string& id, TaskCounts counts);
-    /// The same for a job that this controller holds open but may not answer for from memory: its
-    /// first or its terminal record is under way, or the lease is gone. No 404.
-    [[nodiscard]] wire::Response read_paced_of_open_job(const std::string& id, TaskCounts counts);
+    /// Does the same as `read` within the rate limit for polls. Returns 503 beyond it.
+    [[nodiscard]] wire::Response read_rate_limited(const std::string& id, TaskCounts counts);
+    /// Does the same as `read_rate_limited` for a job that is open on this controller but that it
+    /// may not answer for from memory, because the first or the terminal record is being written or
+    /// the lease has expired. Returns 503 instead of 404.
+    [[nodiscard]] wire::Response read_open_job_rate_limited(const std::string& id,
+                                                            TaskCounts counts);
 
   private:
     wire::Response read_once(const std::string& id, TaskCounts counts);
@@ -57,8 +62,8 @@
 
     state::KeyValueStore& store_;
     state::TerminalStateCache& terminal_states_;
-    std::mutex polls_mutex_;  // guards polls_
-    TokenBucket polls_;
+    std::mutex poll_limit_mutex_;  // guards poll_limit_
+    TokenBucket poll_limit_;
 };
 
 }  // namespace bendspindle::api
--- a/src/api/job_status.cpp
+++ b/src/api/job_status.cpp
@@ -25,28 +25,28 @@
     {
         const auto access = leader_state_.lock();
         const auto* const controller = access.controller();
-        // Without the lease another controller may have answered with a newer state already. It is
-        // looked at after the wait for the lock, not before: nothing blocks from here to the
-        // answer.
+        // Without a valid lease another controller may already have returned a newer state. The
+        // lease is checked after the wait for the lock, not before: nothing blocks between this
+        // check and the response.
         if (controller != nullptr && leadership_.lease_valid()) {
             if (const auto status = controller->status(id))
                 return status_response(id, *status, TaskCounts::included);
             known = controller->knows(id);
         }
     }
-    return known ? records_.read_paced_of_open_job(id, TaskCounts::included)
-                 : records_.read_paced(id, TaskCounts::included);
+    return known ? records_.read_open_job_rate_limited(id, TaskCounts::included)
+                 : records_.read_rate_limited(id, TaskCounts::included);
 }
 
 wire::Response JobStatusHandler::answer_as_follower(const std::string& id) {
-    const auto asked = std::chrono::steady_clock::now();
+    const auto requested_at = std::chrono::steady_clock::now();
     auto response =
         leadership::forward_to_leader(wire::peer::Op::status, id, {}, leadership_, peers_);
     if (!response || response->status == wire::http_status::service_unavailable ||
-        may_be_outdated(*response, asked))
-        return records_.read_paced(id, TaskCounts::included);
-    // The next to ask here needs nobody else.
-    records_.remember_terminal_state(id, *response);
+        may_be_outdated(*response, requested_at))
+        return records_.read_rate_limited(id, TaskCounts::included);
+    // The next request to this controller needs no other process.
+    records_.cache_terminal_state(id, *response);
     return *response;
 }
 
--- a/src/api/job_status.hpp
+++ b/src/api/job_status.hpp
@@ -1,9 +1,9 @@
-/// The request for a job's status.
+/// The handler of requests for a job's status.
 ///
-/// The leader answers from memory while its lease is valid; a follower forwards to the leader, and
-/// reads the records if that one does not answer. No answer is older than one that was given before
-/// by any controller (read consistency). Called on the threads of the HTTP server and of the peer
-/// server, any number at once.
+/// The leader answers from memory while its lease is valid; a follower forwards the request to the
+/// leader and reads the records if the leader does not answer. No response is older than one that
+/// any controller returned before (read consistency). Called concurrently on the threads of the
+/// HTTP server and of the peer server.
 #pragma once
 
 #include <string>
@@ -17,14 +17,15 @@
 
 namespace bendspindle::api {
 
-/// Answers as leader, forwards as follower.
+/// A handler that answers on the leader and forwards requests on a follower.
 class JobStatusHandler {
   public:
-    /// All of these outlive it.
+    /// The referenced objects must outlive the handler.
     JobStatusHandler(leadership::Leadership& leadership, leadership::Peers& peers,
                      state::LeaderState& leader_state, JobRecords& records);
 
-    /// 200, 404 for no such job, or 503. What a peer forwards is not forwarded again.
+    /// Returns 200 with the job's status, 404 if there is no such job, or 503. A request that a
+    /// peer has forwarded is not forwarded again.
     [[nodiscard]] wire::Response handle(const std::string& id, agents::RequestOrigin origin);
 
   private:
--- a/src/api/job_submission.cpp
+++ b/src/api/job_submission.cpp
@@ -13,9 +13,9 @@
 
 using Clock = std::chrono::steady_clock;
 
-// A follower's 201 does not read the job's state; so soon after its transaction was sent nobody can
-// have answered with a newer one.
-constexpr std::chrono::milliseconds created_is_fresh_for{50};
+// A follower returns 201 without reading the job's state; within this time after its transaction
+// was sent no other controller can have returned a newer state.
+constexpr std::chrono::milliseconds max_created_state_age{50};
 
 }  // namespace
 
@@ -47,7 +47,7 @@
         access.unlock();
         return admit_as_follower(spec);
     }
-    // Guard against overwriting what another version may be able to read.
+    // Guards against overwriting a record that another version may be able to read.
     if (access.controller()->quarantined(id))
         return wire::unavailable("the record cannot be read", 5);
     const auto verdict = access.controller()->check(spec);
@@ -60,11 +60,12 @@
     const bool is_new =
         access.controller()->accept(spec, std::chrono::system_clock::now(), Clock::now());
     access.request_write();
-    access.wait_for_commit(commit_limit, [&] {
+    access.wait_for_commit(commit_timeout, [&] {
         const auto* const controller = access.controller();
         return controller == nullptr || !controller->knows(id) || controller->durable(id);
     });
-    // Guard against went_back: the wait may have been long, and the lease is gone since.
+    // Guards against went_back: the wait may have been long and the lease may have expired during
+    // it.
     if (const auto* const controller = access.controller();
         controller != nullptr && leadership_.lease_valid()) {
         if (const auto status = controller->status(id)) {
@@ -75,9 +76,9 @@
         }
     }
     access.unlock();
-    // It has ended already, or a write was not committed in time.
+    // The job has already ended, or a write was not committed in time.
     if (auto response = records_.from_terminal_cache(id, TaskCounts::omitted)) return *response;
-    return records_.read_paced_of_open_job(id, TaskCounts::omitted);
+    return records_.read_open_job_rate_limited(id, TaskCounts::omitted);
 }
 
 wire::Response JobSubmissionHandler::admit_as_follower(const core::JobSpec& spec) {
@@ -92,11 +93,11 @@
     if (answer.outcome == state::JobAdmission::Result::failed)
         return wire::unavailable("the job could not be recorded in time");
     const bool is_new = answer.outcome == state::JobAdmission::Result::admitted;
-    if (is_new && Clock::now() - answer.sent <= created_is_fresh_for)
+    if (is_new && Clock::now() - answer.sent <= max_created_state_age)
         return {wire::http_status::created, 0,
                 wire::status_body(spec.id, core::JobStatus{}, false)};
-    // Guard against went_back: with the transaction's answer held up for a second the 201 "queued"
-    // left after others had answered with the job's end.
+    // Guards against went_back: with the response to the transaction delayed by a second, the 201
+    // "queued" was sent after other controllers had returned the job's terminal state.
     auto response = records_.read(spec.id, TaskCounts::omitted);
     if (response.status == wire::http_status::not_found)
         return wire::unavailable("the record is changing");
@@ -105,7 +106,7 @@
     return response;
 }
 
-// It may have been admitted before teams or types changed; what was admitted stays so.
+// The job may have been admitted before the teams or machine types changed, and stays admitted.
 wire::Response JobSubmissionHandler::answer_never_fits(const std::string& id) {
     auto response = records_.read(id, TaskCounts::omitted);
     if (response.status == wire::http_status::not_found)
--- a/src/api/job_submission.hpp
+++ b/src/api/job_submission.hpp
@@ -1,8 +1,9 @@
-/// The request to run a job. Idempotent: a repeated submission is answered with the job's state.
+/// The handler of requests to run a job. Idempotent: the response to a repeated submission contains
+/// the job's state.
 ///
-/// The leader admits the job into the core and waits for its record; a follower, or a leader whose
-/// records are being loaded, writes the record itself and the leader adopts it. Called on the HTTP
-/// server's threads, any number at once.
+/// The leader admits the job into the core and waits until its record is committed. A follower, or
+/// a leader whose records are being loaded, writes the record itself and the leader adopts the job.
+/// Called concurrently on the threads of the HTTP server.
 #pragma once
 
 #include <string>
@@ -16,16 +17,16 @@
 
 namespace bendspindle::api {
 
-/// Admits as leader or as follower.
+/// A handler that admits jobs on the leader and on followers.
 class JobSubmissionHandler {
   public:
-    /// All of these outlive it.
+    /// The referenced objects must outlive the handler.
     JobSubmissionHandler(const config::Settings& settings, const leadership::Leadership& leadership,
                          state::LeaderState& leader_state, state::JobAdmission& admission,
                          JobRecords& records);
 
-    /// 201 for a new job, 200 for a known one, 400 malformed, 422 for one that can never run, or
-    /// 503.
+    /// Returns 201 for a new job, 200 for a known one, 400 for a malformed request, 422 for a job
+    /// that can never run, or 503.
     [[nodiscard]] wire::Response handle(const std::string& body);
 
   private:
--- a/src/api/peer_requests.cpp
+++ b/src/api/peer_requests.cpp
@@ -44,7 +44,7 @@
 }
 
 wire::Response PeerRequests::leader_announcement(const wire::peer::Request& request) {
-    if (request.term >= leadership_.status().term) handlers_.health.leader_announced();
+    if (request.term >= leadership_.status().term) handlers_.health.record_leader_announcement();
     leadership_.learn_leader(request.term, request.id);
     return {wire::http_status::ok, 0, {}};
 }
--- a/src/api/peer_requests.hpp
+++ b/src/api/peer_requests.hpp
@@ -1,5 +1,6 @@
-/// Answers the requests of other controllers: what they forward, what the leader announces, and the
-/// replication of cancellations. Called by the peer server, on a thread for each connection.
+/// Answers the requests of other controllers: forwarded user and agent requests, announcements of
+/// the leader and the replication of cancellations. Called by the peer server, which has one thread
+/// per connection.
 #pragma once
 
 #include <string>
@@ -17,7 +18,7 @@
 
 namespace bendspindle::api {
 
-/// The handlers that peer requests go to. All of these outlive it.
+/// The handlers of the forwarded requests. The referenced objects must outlive the struct.
 struct PeerRequestHandlers {
     JobStatusHandler& status;
     JobCancellationHandler& cancellation;
@@ -25,15 +26,16 @@
     Health& health;
 };
 
-/// Dispatches by operation; each answer bears the term known here.
+/// A dispatcher of peer requests by operation. Each answer contains the term known to this
+/// controller.
 class PeerRequests {
   public:
-    /// All of these outlive it.
+    /// The referenced objects must outlive the dispatcher.
     PeerRequests(PeerRequestHandlers handlers, leadership::Leadership& leadership,
                  leadership::Peers& peers, leadership::CancellationReplication& replication,
                  state::LeaderState& leader_state);
 
-    /// Blocks as long as the handler of the operation does.
+    /// Answers a request. Blocks for as long as the handler of its operation does.
     [[nodiscard]] wire::peer::Answer handle(const wire::peer::Request& request);
 
   private:
--- a/src/api/token_bucket.hpp
+++ b/src/api/token_bucket.hpp
@@ -1,6 +1,6 @@
-/// A rate limit: so many a second, with what some seconds allow saved up at most.
+/// A token bucket: a rate limit that allows bursts.
 ///
-/// Pure: the time is passed in. Not synchronized; its owner guards it.
+/// Does no I/O; the caller passes the time. Not thread-safe; the owner synchronizes access.
 #pragma once
 
 #include <algorithm>
@@ -9,18 +9,20 @@
 
 namespace bendspindle::api {
 
-/// One rate limit.
+/// A limit of `per_second` operations per second, which saves unused ones for at most `burst`
+/// seconds.
 class TokenBucket {
   public:
-    /// Full at first: what `burst` allows at `per_second`.
+    /// Creates a full bucket, which holds the tokens that `burst` seconds yield at `per_second`.
     TokenBucket(double per_second, core::Seconds burst)
         : rate_(per_second), capacity_(per_second * burst.count()), tokens_(capacity_) {}
 
-    /// Takes a token if there is one.
+    /// Takes a token if there is one. Returns whether there was one.
     [[nodiscard]] bool take(core::TimePoint now) {
-        if (last_ != core::TimePoint{})
-            tokens_ = std::min(capacity_, tokens_ + core::between(last_, now).count() * rate_);
-        last_ = now;
+        if (last_refill_ != core::TimePoint{})
+            tokens_ =
+                std::min(capacity_, tokens_ + core::between(last_refill_, now).count() * rate_);
+        last_refill_ = now;
         if (tokens_ < 1) return false;
         tokens_ -= 1;
         return true;
@@ -30,7 +32,7 @@
     double rate_;
     double capacity_;
     double tokens_;
-    core::TimePoint last_{};
+    core::TimePoint last_refill_{};
 };
 
 }  // namespace bendspindle::api
