--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -19,16 +19,17 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr milliseconds call_limit{4000};
-constexpr seconds catalog_every{60};
-constexpr seconds catalog_retry{2};
-constexpr seconds min_list_every{5};
-constexpr milliseconds plan_every{1000};
+constexpr milliseconds request_timeout{4000};
+constexpr seconds catalog_interval{60};
+constexpr seconds catalog_retry_interval{2};
+constexpr seconds min_list_interval{5};
+constexpr milliseconds plan_interval{1000};
 constexpr unsigned list_page_size = 500;
-// A request whose answer was lost is sent again under its name, this often in all; the cloud
-// answers a repeat of a granted one with the same machines.
+// A request whose response was lost is sent again under the same name, up to this number of
+// attempts in total; the cloud answers a repeat of a granted request with the same machines.
 constexpr int scale_out_attempts = 4;
-// All controllers read the catalog, the leader does the rest; a tenth of the rate is left free.
+// Leaves a tenth of the rate limit free: all controllers read the catalog, while only the leader
+// makes the other calls.
 constexpr double spacing_factor = 1.1;
 
 }  // namespace
@@ -36,12 +37,12 @@
 CloudClient::CloudClient(state::LeaderState& leader_state, const config::Settings& settings,
                          std::function<bool()> lease_valid)
     : leader_state_(leader_state),
-      client_(settings.cloud, call_limit),
+      client_(settings.cloud, request_timeout),
       lease_valid_(std::move(lease_valid)) {
     call_spacing_ = duration_cast<Clock::duration>(
         std::chrono::duration<double>(spacing_factor / settings.cloud_requests_per_s));
-    list_every_ = std::max(duration_cast<Clock::duration>(settings.list_lag),
-                           duration_cast<Clock::duration>(min_list_every));
+    list_interval_ = std::max(duration_cast<Clock::duration>(settings.list_lag),
+                              duration_cast<Clock::duration>(min_list_interval));
 }
 
 void CloudClient::wait_for_rate_limit() {
@@ -56,17 +57,17 @@
                      ? wire::parse_catalog(answer->body)
                      : std::nullopt;
     if (!types || types->empty()) {
-        next_catalog_ = Clock::now() + catalog_retry;
+        next_catalog_ = Clock::now() + catalog_retry_interval;
         return;
     }
-    next_catalog_ = Clock::now() + catalog_every;
+    next_catalog_ = Clock::now() + catalog_interval;
     leader_state_.set_machine_types(std::move(*types));
 }
 
 void CloudClient::report_listed_machines() {
     std::vector<core::ListedMachine> machines;
     std::string after;
-    const auto asked = Clock::now();
+    const auto requested_at = Clock::now();
     for (;;) {
         wait_for_rate_limit();
         const auto answer = client_.get(wire::path::list(after, list_page_size));
@@ -78,7 +79,7 @@
         after = machines.back().name;
     }
     auto access = leader_state_.lock();
-    if (access.controller()) access.controller()->listed(machines, asked, Clock::now());
+    if (access.controller()) access.controller()->listed(machines, requested_at, Clock::now());
 }
 
 void CloudClient::scale_out(const core::ScaleOutRequest& request, std::uint64_t term) {
@@ -107,9 +108,10 @@
 
 void CloudClient::scale_in(const core::ScalingPlan& plan, std::uint64_t term) {
     wait_for_rate_limit();
-    // A leader that had stalled for 20 s went on with the plan it had made before and released 63
-    // machines that the next leader had tasks on (CloudClient.ReleasesNothingWithoutAValidLease).
-    // Machines that must go because tasks on them are cancelled go even so.
+    // A leader that had stalled for 20 s continued with its earlier plan and released 63 machines
+    // on which the next leader had tasks (CloudClient.ReleasesNothingWithoutAValidLease). Machines
+    // that must be released because tasks on them are cancelled are released without a valid lease,
+    // too.
     const auto& names = lease_valid_() ? plan.release : plan.overdue;
     if (names.empty()) return;
     const auto answer = client_.post(wire::path::release, wire::release_body(names));
@@ -136,14 +138,14 @@
                 plan = access.controller()->plan_scaling(Clock::now());
             }
         }
-        // Releases free tasks for placement, so they go before what adds capacity.
+        // A release returns the tasks on its machines to placement, so it precedes scaling out.
         if (!plan.release.empty()) scale_in(plan, term);
         for (const auto& request : plan.scale_out) scale_out(request, term);
         if (leading && Clock::now() >= next_list_) {
-            next_list_ = Clock::now() + list_every_;
+            next_list_ = Clock::now() + list_interval_;
             report_listed_machines();
         }
-        std::this_thread::sleep_for(plan_every);
+        std::this_thread::sleep_for(plan_interval);
     }
 }
 
--- a/src/cloud/cloud_client.hpp
+++ b/src/cloud/cloud_client.hpp
@@ -1,9 +1,9 @@
-/// The leader's calls of the cloud: the catalog of machine types, the list of machines, scaling out
-/// and in, all within the cloud's rate limit.
+/// The controller's calls to the cloud API: reading the catalog of machine types, listing machines,
+/// scaling out and scaling in, all within the API's rate limit.
 ///
-/// One thread of the daemon runs it. A follower only reads the catalog. What must hold: no machine
-/// is rented, and none released that a newer leader may use, once this controller's lease may have
-/// expired.
+/// Runs on one thread of the daemon. A follower only reads the catalog. Invariant: once this
+/// controller's lease may have expired, it rents no machine and releases none that a newer leader
+/// may use.
 #pragma once
 
 #include <chrono>
@@ -16,13 +16,14 @@
 
 namespace bendspindle::cloud {
 
-/// Only `run` is public: everything belongs to the thread that calls it.
+/// A client of the cloud API. All members are used only by the thread that calls `run`.
 class CloudClient {
   public:
-    /// `lease_valid`: whether no other controller can lead yet. `leader_state` outlives this.
+    /// `lease_valid` returns whether the lease still rules out another leader. `leader_state` must
+    /// outlive the client.
     CloudClient(state::LeaderState& leader_state, const config::Settings& settings,
                 std::function<bool()> lease_valid);
-    /// Calls the cloud as its plans ask for, until the process ends.
+    /// Refreshes the catalog and, as leader, carries out the scaling plans. Does not return.
     void run();
 
   private:
@@ -38,7 +39,7 @@
     io::HttpClient client_;
     std::function<bool()> lease_valid_;
     Clock::duration call_spacing_;
-    Clock::duration list_every_;
+    Clock::duration list_interval_;
     Clock::time_point next_call_{};
     Clock::time_point next_catalog_{};
     Clock::time_point next_list_{};
--- a/tests/cloud_client_test.cpp
+++ b/tests/cloud_client_test.cpp
@@ -1,4 +1,4 @@
-// Calls of the cloud by a leader whose lease may have expired.
+// Tests of the cloud calls of a leader whose lease may have expired.
 #include "cloud/cloud_client.hpp"
 
 #include <gtest/gtest.h>
@@ -15,8 +15,8 @@
 using namespace std::chrono_literals;
 using Clock = std::chrono::steady_clock;
 
-// A leader with one machine to be released. Kept until the process ends, as the thread is that uses
-// it.
+// A leader with one machine to release. Kept until the process ends, because its thread runs until
+// then.
 struct CloudClientFixture {
     explicit CloudClientFixture(int port) : cloud(port, {}), settings(settings_of(port)) {
         core::Config config;
@@ -24,7 +24,7 @@
         config.teams = {{"red", {}, {}}};
         auto access = leader_state.lock();
         access.install(std::make_unique<core::Controller>(config, 1), 1);
-        // Recorded by a former leader and silent for longer than a lease: it is to be released.
+        // Recorded by a former leader and silent for longer than a lease, so it is due for release.
         access.controller()->load_machine(
             {"m1", "127.0.0.1:1", "m4", "a", false, core::MachineStage::running, core::Seconds{0}},
             1, Clock::now() - 60s);
@@ -42,8 +42,8 @@
     CloudClient client{leader_state, settings, [this] { return lease_valid.load(); }};
 };
 
-// A leader that had stalled went on with the plan it had made before and released machines that the
-// next leader had tasks on.
+// Guards against a leader that had stalled, continued with its earlier plan and released machines
+// on which the next leader had tasks.
 TEST(CloudClient, ReleasesNothingWithoutAValidLease) {
     auto& fixture = *new CloudClientFixture(22000 + static_cast<int>(::getpid() % 1000));
     std::thread([&fixture] { fixture.client.run(); }).detach();
