--- a/src/api/job_cancellation.cpp
+++ b/src/api/job_cancellation.cpp
@@ -61,14 +61,14 @@
     auto response = records_.read(id, TaskCounts::omitted);
     if (response.status != wire::http_status::ok || wire::terminal_state_in_status(response.body))
         return response;
-    if (!job_watch_.adopt_one(id, term)) return wire::unavailable("the job is not loaded");
+    if (!job_watch_.adopt_job(id, term)) return wire::unavailable("the job is not loaded");
     return std::nullopt;
 }
 
 std::optional<wire::Response> JobCancellationHandler::cancel_replicated(const std::string& id,
                                                                         std::uint64_t term) {
     auto access = leader_state_.lock();
-    auto* const controller = access.controller_of(term);
+    auto* const controller = access.controller_for_term(term);
     if (controller == nullptr) return wire::unavailable("taking over");
     // Guards against ran_cancelled: a former leader that reached neither the store nor this
     // controller kept renewing the leases of its agents during an outage, and no controller was
--- a/src/api/job_submission.cpp
+++ b/src/api/job_submission.cpp
@@ -93,7 +93,7 @@
     if (answer.outcome == state::JobAdmission::Result::failed)
         return wire::unavailable("the job could not be recorded in time");
     const bool is_new = answer.outcome == state::JobAdmission::Result::admitted;
-    if (is_new && Clock::now() - answer.sent <= max_created_state_age)
+    if (is_new && Clock::now() - answer.sent_at <= max_created_state_age)
         return {wire::http_status::created, 0,
                 wire::status_body(spec.id, core::JobStatus{}, false)};
     // Guards against went_back: with the response to the transaction delayed by a second, the 201
--- a/src/state/job_admission.hpp
+++ b/src/state/job_admission.hpp
@@ -36,7 +36,7 @@
     struct Answer {
         Result outcome = Result::failed;
         // When the transaction was sent. Other controllers may have reported a newer state since.
-        std::chrono::steady_clock::time_point sent{};
+        std::chrono::steady_clock::time_point sent_at{};
     };
 
     JobAdmission(KeyValueStore& store, config::StateLimits limits);
--- a/src/state/job_watch.cpp
+++ b/src/state/job_watch.cpp
@@ -48,7 +48,7 @@
 void JobWatch::adopt(const std::vector<wire::Entry>& entries, std::uint64_t revision,
                      std::uint64_t term) {
     auto access = leader_state_.lock();
-    auto* const controller = access.controller_of(term);
+    auto* const controller = access.controller_for_term(term);
     if (controller == nullptr) return;
     // Guards against ran_twice: without a valid lease another controller may already lead, and it
     // would assume that this one did not know the newer records. They are read again later.
@@ -69,13 +69,13 @@
     if (any_adopted) access.request_placement();
 }
 
-bool JobWatch::adopt_one(const std::string& id, std::uint64_t term) {
+bool JobWatch::adopt_job(const std::string& id, std::uint64_t term) {
     const auto open = store_.get(keys::job(id));
     if (open.outcome != StoreStatus::ok) return false;
     constexpr std::uint64_t cursor_unchanged = 0;
     adopt({open.entry}, cursor_unchanged, term);
     const auto access = leader_state_.lock();
-    const auto* const controller = access.controller_of(term);
+    const auto* const controller = access.controller_for_term(term);
     return controller != nullptr && controller->knows(id);
 }
 
--- a/src/state/job_watch.hpp
+++ b/src/state/job_watch.hpp
@@ -2,7 +2,7 @@
 /// jobs.
 ///
 /// Owns the watch; the `JobWatchCursor` in `LeaderState` holds its position. `run` has its own
-/// thread; `adopt_one` is called on the thread of a cancellation request.
+/// thread; `adopt_job` is called on the thread of a cancellation request.
 #pragma once
 
 #include <cstdint>
@@ -27,7 +27,7 @@
     /// Adopts a job that a follower has just admitted, ahead of its watch event. Returns whether
     /// the controller of this term knows the job afterwards; false if the job is not open or no job
     /// can be adopted at present. Calls the store, so the caller must not hold the leader mutex.
-    [[nodiscard]] bool adopt_one(const std::string& id, std::uint64_t term);
+    [[nodiscard]] bool adopt_job(const std::string& id, std::uint64_t term);
 
   private:
     void watch_once();
--- a/src/state/leader_state.cpp
+++ b/src/state/leader_state.cpp
@@ -23,7 +23,7 @@
     if (auto* controller = access.controller()) controller->set_types(std::move(types));
 }
 
-core::Controller* LeaderState::Access::controller_of(std::uint64_t term) const {
+core::Controller* LeaderState::Access::controller_for_term(std::uint64_t term) const {
     auto* const current = controller();
     return current != nullptr && current->term() == term ? current : nullptr;
 }
--- a/src/state/leader_state.hpp
+++ b/src/state/leader_state.hpp
@@ -80,7 +80,7 @@
     /// Returns the controller, or null while this process does not lead or loads the records.
     [[nodiscard]] core::Controller* controller() const { return state_.controller_.get(); }
     /// Returns the controller if it leads in this term, otherwise null.
-    [[nodiscard]] core::Controller* controller_of(std::uint64_t term) const;
+    [[nodiscard]] core::Controller* controller_for_term(std::uint64_t term) const;
 
     /// Makes a controller whose records are loaded the leading one. `leader_key_revision` is the
     /// mod_revision of its leader key.
--- a/src/state/state_writer.cpp
+++ b/src/state/state_writer.cpp
@@ -172,7 +172,7 @@
         if (write.type == Type::finish_job)
             terminal_states_.put(write.id, write.job.terminal_state);
     auto access = leader_state_.lock();
-    auto* const controller = access.controller_of(batch.term);
+    auto* const controller = access.controller_for_term(batch.term);
     if (controller == nullptr) return;
     for (const auto& write : batch.writes)
         if (write.type == Type::finish_job)
@@ -186,7 +186,7 @@
 // (StateWriter.ARejectedTerminalStateLeavesTheFormerState).
 void StateWriter::resolve_rejected(const Batch& batch) {
     const auto access = leader_state_.lock();
-    if (auto* const controller = access.controller_of(batch.term))
+    if (auto* const controller = access.controller_for_term(batch.term))
         controller->rejected(batch.terminal_states);
 }
 
@@ -257,7 +257,7 @@
                                                     std::uint64_t term) {
     if (stored.terminal_state) terminal_states_.put(write.id, *stored.terminal_state);
     auto access = leader_state_.lock();
-    auto* const controller = access.controller_of(term);
+    auto* const controller = access.controller_for_term(term);
     if (controller == nullptr) return ReconcileResult::deposed;
     // Guards against went_back: users get the state in the record, not the state of the rejected
     // write (StateWriter.TheTerminalRecordDecides).
