--- a/src/api/job_cancellation.cpp
+++ b/src/api/job_cancellation.cpp
@@ -72,7 +72,7 @@
     if (controller == nullptr) return wire::unavailable("taking over");
     // Guards against ran_cancelled: a former leader that reached neither the store nor this
     // controller kept renewing the leases of its agents during an outage, and no controller was
-    // left to stop their tasks. Once enough peers know the new leader, the former one finds no
+    // left to end those leases. Once enough peers know the new leader, the former one finds no
     // majority to prove its leadership.
     if (controller->may_have_unfenced_tasks(id) && !replication_.acknowledged_by_quorum())
         return wire::unavailable("the other controllers are being told who acts");
--- a/src/state/http_key_value_store.hpp
+++ b/src/state/http_key_value_store.hpp
@@ -1,4 +1,4 @@
-/// The key-value store over HTTP. Thread-safe: each call borrows its own connection from the pool.
+/// The key-value store over HTTP. Thread-safe: concurrent calls use separate connections.
 #pragma once
 
 #include <atomic>
--- a/src/state/job_admission.hpp
+++ b/src/state/job_admission.hpp
@@ -43,7 +43,7 @@
     /// Commits queued records. Does not return.
     void run();
     /// Writes the job's first record unless the job has a record. Waits until the outcome is known,
-    /// at most for the time that a user request may take.
+    /// and no longer than a user request may wait.
     [[nodiscard]] Answer admit(core::JobRecord record);
 
   private:
@@ -65,7 +65,8 @@
 
     KeyValueStore& store_;
     const config::StateLimits limits_;
-    std::mutex mutex_;  // guards waiting_ and each entry's outcome; not held during a call
+    // Guards waiting_ and the outcome and sent_at of each entry. Not held during a call.
+    std::mutex mutex_;
     std::condition_variable entry_added_;
     std::condition_variable entry_resolved_;
     std::deque<std::shared_ptr<Entry>> waiting_;
