--- a/src/api/job_records.cpp
+++ b/src/api/job_records.cpp
@@ -93,7 +93,7 @@
 }
 
 wire::Response JobRecords::read_terminal_record(const std::string& id, TaskCounts counts) {
-    const auto terminal = store_.get(state::keys::over(id));
+    const auto terminal = store_.get(state::keys::ended_job(id));
     if (terminal.outcome == state::StoreStatus::absent)
         return {wire::http_status::not_found, 0, wire::error_body("no such job")};
     if (terminal.outcome != state::StoreStatus::ok)
--- a/src/state/job_admission.cpp
+++ b/src/state/job_admission.cpp
@@ -103,7 +103,7 @@
     for (const auto& entry : batch) {
         const auto& id = entry->record.spec.id;
         conditions.push_back({keys::job(id), 0});
-        conditions.push_back({keys::over(id), 0});
+        conditions.push_back({keys::ended_job(id), 0});
         operations.push_back({keys::job(id), wire::job_record(entry->record), {}});
     }
     const auto sent_at = Clock::now();
@@ -119,8 +119,8 @@
     for (const auto& entry : batch) {
         entry->sent_at = sent_at;
         const auto& id = entry->record.spec.id;
-        const bool exists =
-            condition_failed(result, keys::job(id)) || condition_failed(result, keys::over(id));
+        const bool exists = condition_failed(result, keys::job(id)) ||
+                            condition_failed(result, keys::ended_job(id));
         if (result.outcome == StoreStatus::ok)
             entry->outcome = Result::admitted;
         else if (result.outcome == StoreStatus::conflict && exists)
--- a/src/state/keys.hpp
+++ b/src/state/keys.hpp
@@ -12,7 +12,7 @@
     return jobs + id;
 }
 /// Returns the key of an ended job's terminal state, which replaces `job(id)` in one transaction.
-inline std::string over(const std::string& id) {
+inline std::string ended_job(const std::string& id) {
     return "over/" + id;
 }
 /// The prefix of the keys of machines.
--- a/src/state/state_writer.cpp
+++ b/src/state/state_writer.cpp
@@ -43,7 +43,7 @@
 
 bool condition_failed(const CasResult& result, const core::RecordWrite& write) {
     return condition_failed(result, key_of(write)) ||
-           (is_job(write) && condition_failed(result, keys::over(write.id)));
+           (is_job(write) && condition_failed(result, keys::ended_job(write.id)));
 }
 
 }  // namespace
@@ -107,17 +107,17 @@
             if (batch.job_record_bytes > max_job_record_bytes && !batch.writes.empty())
                 return AddResult::batch_full;
             batch.conditions.push_back(unchanged);
-            if (write.mod_revision == 0) batch.conditions.push_back({keys::over(write.id), 0});
+            if (write.mod_revision == 0) batch.conditions.push_back({keys::ended_job(write.id), 0});
             batch.operations.push_back({keys::job(write.id), std::move(record), {}});
             break;
         }
         case Type::finish_job:
             batch.conditions.push_back(unchanged);
-            batch.conditions.push_back({keys::over(write.id), 0});
+            batch.conditions.push_back({keys::ended_job(write.id), 0});
             if (replaces_open_record)
                 batch.operations.push_back({keys::job(write.id), std::nullopt, {}});
             batch.operations.push_back(
-                {keys::over(write.id), wire::terminal_record(write.job), {}});
+                {keys::ended_job(write.id), wire::terminal_record(write.job), {}});
             break;
         case Type::put_machine:
             batch.conditions.push_back(unchanged);
@@ -234,7 +234,7 @@
     StoredRecord stored;
     if (record.outcome == StoreStatus::ok) stored.mod_revision = record.entry.mod_revision;
     if (is_job(write)) {
-        const auto terminal = store_.get(keys::over(write.id));
+        const auto terminal = store_.get(keys::ended_job(write.id));
         if (terminal.outcome != StoreStatus::ok && terminal.outcome != StoreStatus::absent)
             return std::nullopt;
         if (terminal.outcome == StoreStatus::ok) {
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -344,7 +344,7 @@
     EXPECT_EQ(path::keep_alive(7), "/leases/7/touch");
     EXPECT_STREQ(state::keys::jobs, "job/");
     EXPECT_EQ(state::keys::job("job-1"), "job/job-1");
-    EXPECT_EQ(state::keys::over("job-1"), "over/job-1");
+    EXPECT_EQ(state::keys::ended_job("job-1"), "over/job-1");
     EXPECT_EQ(state::keys::machine("n-1"), "machine/n-1");
     EXPECT_STREQ(state::keys::leader, "steward");
 }
--- a/tests/standin/leader_change_simulation.cpp
+++ b/tests/standin/leader_change_simulation.cpp
@@ -161,7 +161,7 @@
     }
 
     int from_record(const std::string& job) {
-        const auto over = store.get(state::keys::over(job));
+        const auto over = store.get(state::keys::ended_job(job));
         if (over.outcome != StoreStatus::ok) return 503;
         const auto terminal_state = wire::parse_terminal_record(over.entry.value).value();
         terminal_states.put(job, terminal_state);
@@ -289,10 +289,10 @@
                 operations.push_back({key, wire::job_record(change.job), {}});
                 break;
             case Type::finish_job:
-                conditions.push_back({state::keys::over(change.id), 0});
+                conditions.push_back({state::keys::ended_job(change.id), 0});
                 if (change.mod_revision != 0) operations.push_back({key, std::nullopt, {}});
                 operations.push_back(
-                    {state::keys::over(change.id), wire::terminal_record(change.job), {}});
+                    {state::keys::ended_job(change.id), wire::terminal_record(change.job), {}});
                 break;
             case Type::put_machine:
                 operations.push_back({key, wire::machine_record(change.machine), {}});
@@ -323,13 +323,13 @@
         for (const auto& change : changes) {
             const bool job = change.type == Type::put_job || change.type == Type::finish_job;
             const auto key = job ? state::keys::job(change.id) : state::keys::machine(change.id);
-            const bool over_failed = job && failed.contains(state::keys::over(change.id));
+            const bool over_failed = job && failed.contains(state::keys::ended_job(change.id));
             if (!failed.contains(key) && !over_failed) continue;
             const auto record = store.get(key);
             if (record.outcome != StoreStatus::ok && record.outcome != StoreStatus::absent) return;
             std::optional<core::TerminalState> terminal_state;
             if (job) {
-                const auto over = store.get(state::keys::over(change.id));
+                const auto over = store.get(state::keys::ended_job(change.id));
                 if (over.outcome != StoreStatus::ok && over.outcome != StoreStatus::absent) return;
                 if (over.outcome == StoreStatus::ok)
                     terminal_state = wire::parse_terminal_record(over.entry.value);
--- a/tests/state_writer_test.cpp
+++ b/tests/state_writer_test.cpp
@@ -104,7 +104,7 @@
     core::TerminalState answered = core::TerminalState::none;
     for (const auto until = Clock::now() + 15s; Clock::now() < until;) {
         access.unlock();
-        const bool ended = fixture.store.get(keys::over("job-8")).outcome == StoreStatus::ok;
+        const bool ended = fixture.store.get(keys::ended_job("job-8")).outcome == StoreStatus::ok;
         std::this_thread::sleep_for(20ms);
         access.relock();
         const auto status = access.controller()->status("job-8");
@@ -181,7 +181,7 @@
     access.install(std::move(controller), leader.revision);
     const wire::Value terminal{{"final", "done"}};
     fixture.store.compare_and_swap(
-        {}, {{keys::job("job-10"), std::nullopt, {}}, {keys::over("job-10"), terminal, {}}});
+        {}, {{keys::job("job-10"), std::nullopt, {}}, {keys::ended_job("job-10"), terminal, {}}});
     access.controller()->cancel("job-10", Clock::now());
     access.request_write();
     ASSERT_TRUE(access.wait_for_commit(
