--- a/src/daemon/placement_loop.cpp
+++ b/src/daemon/placement_loop.cpp
@@ -74,7 +74,7 @@
     log_started_jobs(*controller);
     if (auto& progress = access.failover_progress()) {
         progress->observe(*controller, Clock::now());
-        if (progress->progressed(Clock::now())) elector_.made_progress();
+        if (progress->has_progressed(Clock::now())) elector_.made_progress();
     }
     return commands;
 }
--- a/src/state/failover_progress.cpp
+++ b/src/state/failover_progress.cpp
@@ -17,7 +17,8 @@
 
 }  // namespace
 
-void FailoverProgress::loaded(const core::Controller& controller, Clock::time_point now) {
+void FailoverProgress::on_records_loaded(const core::Controller& controller,
+                                         Clock::time_point now) {
     recorded_machines_ = controller.unconfirmed();
     half_logged_ = all_logged_ = any_fenced_ = recorded_machines_ == 0;
     io::log::info("records_loaded", "open_jobs", controller.jobs().size(), "machines",
@@ -47,7 +48,7 @@
     }
 }
 
-bool FailoverProgress::progressed(Clock::time_point now) const {
+bool FailoverProgress::has_progressed(Clock::time_point now) const {
     return any_fenced_ && now - elected_at_ >= min_leading_time;
 }
 
--- a/src/state/failover_progress.hpp
+++ b/src/state/failover_progress.hpp
@@ -19,12 +19,12 @@
     explicit FailoverProgress(Clock::time_point elected_at) : elected_at_(elected_at) {}
 
     /// Records and logs that the records are loaded into `controller`, which is about to lead.
-    void loaded(const core::Controller& controller, Clock::time_point now);
+    void on_records_loaded(const core::Controller& controller, Clock::time_point now);
     /// Logs the milestones reached since the last call. Costs little once all were logged.
     void observe(const core::Controller& controller, Clock::time_point now);
     /// Returns whether this term has made progress: a recorded machine was fenced or there was
     /// none, and a minimum time has passed since the election.
-    [[nodiscard]] bool progressed(Clock::time_point now) const;
+    [[nodiscard]] bool has_progressed(Clock::time_point now) const;
 
   private:
     void observe_machines(const core::Controller& controller, Clock::time_point now);
--- a/tests/standin/leader_change_simulation.cpp
+++ b/tests/standin/leader_change_simulation.cpp
@@ -360,7 +360,7 @@
                 controller()->direct_commands(timeline_.now(), replication.may_renew());
             auto& progress = *leader_state.lock().failover_progress();
             progress.observe(*controller(), timeline_.now());
-            if (progress.progressed(timeline_.now())) elector.made_progress();
+            if (progress.has_progressed(timeline_.now())) elector.made_progress();
             for (const auto& call : calls) world_.deliver_call(shared_from_this(), call);
         }
     }
