--- a/src/daemon/failover.cpp
+++ b/src/daemon/failover.cpp
@@ -55,7 +55,7 @@
     controller->hold_terminal_states_until(elector_.terminal_states_allowed_from());
     progress.on_records_loaded(*controller, Clock::now());
     access.failover_progress() = progress;
-    access.job_watch_cursor().begin(*revision);
+    access.job_watch_cursor().reset(*revision);
     access.install(std::move(controller), leader_key_revision);
 }
 
--- a/src/state/job_watch_cursor.hpp
+++ b/src/state/job_watch_cursor.hpp
@@ -20,7 +20,7 @@
 class JobWatchCursor {
   public:
     /// Starts a new term, whose leader has read the records up to this revision.
-    void begin(std::uint64_t revision) {
+    void reset(std::uint64_t revision) {
         revision_ = revision;
         ended_.clear();
     }
--- a/tests/leader_state_test.cpp
+++ b/tests/leader_state_test.cpp
@@ -78,7 +78,7 @@
 // terminal states had evicted it.
 TEST(JobWatchCursor, ALateEventAdoptsNoEndedJob) {
     JobWatchCursor cursor;
-    cursor.begin(10);
+    cursor.reset(10);
     EXPECT_FALSE(cursor.is_new("job-1", 10));  // loaded with the records, or ended before
     EXPECT_TRUE(cursor.is_new("job-1", 11));
     cursor.record_end("job-1", 15);
@@ -94,7 +94,7 @@
     EXPECT_EQ(cursor.revision(), 15U);
     EXPECT_FALSE(cursor.is_new("job-1", 11));
     // A new controller has loaded the records again.
-    cursor.begin(20);
+    cursor.reset(20);
     EXPECT_FALSE(cursor.is_new("job-2", 20));
     EXPECT_TRUE(cursor.is_new("job-2", 21));
 }
