--- a/src/api/job_records.cpp
+++ b/src/api/job_records.cpp
@@ -63,7 +63,8 @@
 wire::Response JobRecords::read_rate_limited(const std::string& id, TaskCounts counts) {
     {
         const std::lock_guard lock(poll_limit_mutex_);
-        if (!poll_limit_.take(Clock::now())) return wire::unavailable("too many questions at once");
+        if (!poll_limit_.try_take(Clock::now()))
+            return wire::unavailable("too many questions at once");
     }
     return read(id, counts);
 }
--- a/src/api/token_bucket.hpp
+++ b/src/api/token_bucket.hpp
@@ -18,7 +18,7 @@
         : rate_(per_second), capacity_(per_second * burst.count()), tokens_(capacity_) {}
 
     /// Takes a token if there is one. Returns whether there was one.
-    [[nodiscard]] bool take(core::TimePoint now) {
+    [[nodiscard]] bool try_take(core::TimePoint now) {
         if (last_refill_ != core::TimePoint{})
             tokens_ =
                 std::min(capacity_, tokens_ + core::between(last_refill_, now).count() * rate_);
--- a/tests/heartbeat_routing_test.cpp
+++ b/tests/heartbeat_routing_test.cpp
@@ -59,11 +59,11 @@
 TEST(TokenBucket, AllowsItsRateAndABurstOfOneSecond) {
     api::TokenBucket bucket(10, 1s);
     int taken = 0;
-    for (int i = 0; i < 100; ++i) taken += bucket.take(start);
+    for (int i = 0; i < 100; ++i) taken += bucket.try_take(start);
     EXPECT_EQ(taken, 10);
-    for (int i = 1; i <= 100; ++i) taken += bucket.take(start + i * 10ms);
+    for (int i = 1; i <= 100; ++i) taken += bucket.try_take(start + i * 10ms);
     EXPECT_NEAR(taken, 20, 1);
-    for (int i = 0; i < 100; ++i) taken += bucket.take(start + 1h);
+    for (int i = 0; i < 100; ++i) taken += bucket.try_take(start + 1h);
     EXPECT_NEAR(taken, 30, 1);
 }
 
