--- a/src/state/failover_progress.cpp
+++ b/src/state/failover_progress.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// A process that ends sooner is taken to end of what it does as leader.
-constexpr std::chrono::seconds long_enough{8};
+// A process that ends sooner after its election is assumed to have failed at its work as leader.
+constexpr std::chrono::seconds min_leading_time{8};
 
 std::string two_decimals(double value) {
     return fmt::format("{:.2f}", value);
@@ -17,7 +17,8 @@
 
 }  // namespace
 
-void FailoverProgress::loaded(const core::Controller& controller, Clock::time_point now) {
+void FailoverProgress::on_records_loaded(const core::Controller& controller,
+                                         Clock::time_point now) {
     recorded_machines_ = controller.unfenced_machine_count();
     half_logged_ = all_logged_ = any_fenced_ = recorded_machines_ == 0;
     io::log::info("records_loaded", "open_jobs", controller.jobs().size(), "machines",
@@ -47,8 +48,8 @@
     }
 }
 
-bool FailoverProgress::progressed(Clock::time_point now) const {
-    return any_fenced_ && now - elected_at_ >= long_enough;
+bool FailoverProgress::has_progressed(Clock::time_point now) const {
+    return any_fenced_ && now - elected_at_ >= min_leading_time;
 }
 
 }  // namespace bendspindle::state
