--- a/src/wire/agent_messages.cpp
+++ b/src/wire/agent_messages.cpp
@@ -1,16 +1,16 @@
-// The wire's fields and the code's terms:
+// Field names on the wire and the corresponding terms in the code:
 //   checkin (path)   heartbeat                    orders          task commands
 //   spindle          machine                      addr            address of its agent
 //   build, hall      machine type, zone           loaners         spot
 //   shift            agent epoch                  tick            sequence of the heartbeat
 //   baton            fencing token                foreman         leader
-//   warning_s        notice of a preemption by the cloud
-//   piece            task: the job's id, a slash and its index
+//   warning_s        time until the cloud preempts the machine
+//   piece            task: the job id, a slash and the task index
 //   try              attempt                      stored          a checkpoint was saved
 //   stage            task state: pulling = fetching, flushing = saving
 //   cause            exit cause: halted = stopped, full = no_room, no_such = unknown
 //   verb             start, stop, reap = acknowledge
-//   wind_down_s      grace of a stop
+//   wind_down_s      grace period of a stop
 #include "wire/agent_messages.hpp"
 
 #include <tuple>
@@ -42,7 +42,7 @@
      {"stop", core::TaskCommand::Verb::stop},
      {"reap", core::TaskCommand::Verb::acknowledge}}};
 
-// A task's name is that of its job, a slash and its number.
+// Returns the name of a task on the wire: the job id, a slash and the task index.
 std::string task_name(const std::string& job, std::uint32_t index) {
     return job + "/" + std::to_string(index);
 }
@@ -63,8 +63,8 @@
     core::ReportedTask task;
     std::tie(task.job, task.index) = parse_task_name(fields.text("piece"));
     task.attempt = fields.count("try");
-    task.state = fields.named(state_names, "stage");
-    if (task.state == TaskState::exited) task.cause = fields.named(cause_names, "cause");
+    task.state = fields.enum_value(state_names, "stage");
+    if (task.state == TaskState::exited) task.cause = fields.enum_value(cause_names, "cause");
     if (fields.has("stored")) task.saved = fields.flag("stored");
     return task;
 }
@@ -137,9 +137,9 @@
                          {"orders", commands_value(call.commands)}});
 }
 
-std::string redirect_body(const std::string& node) {
-    if (node.empty()) return to_cbor(Value::object());
-    return to_cbor(Value{{"foreman", node}});
+std::string redirect_body(const std::string& leader) {
+    if (leader.empty()) return to_cbor(Value::object());
+    return to_cbor(Value{{"foreman", leader}});
 }
 
 }  // namespace bendspindle::wire
--- a/src/wire/agent_messages.hpp
+++ b/src/wire/agent_messages.hpp
@@ -1,6 +1,6 @@
-/// Heartbeats of agents, and the task commands that go to them: in answers to heartbeats and in
-/// direct calls. Called by `agents` alone; the map from the wire's fields to the code's terms is in
-/// agent_messages.cpp.
+/// Codecs of the heartbeats of agents and of the task commands sent to them, in heartbeat responses
+/// and in direct calls. Used only by `agents`; agent_messages.cpp lists the field names on the wire
+/// and the corresponding terms in the code.
 #pragma once
 
 #include <cstdint>
@@ -20,15 +20,16 @@
 inline constexpr const char* inspect = "/inspect";
 }  // namespace path
 
-/// nullopt if anything in it is malformed.
+/// Returns nullopt if any part of the heartbeat is malformed.
 std::optional<core::Heartbeat> parse_heartbeat(std::string_view body);
 std::string heartbeat_body(const core::Heartbeat& heartbeat);
-/// The answer to a heartbeat.
+/// Returns the body of a heartbeat response.
 std::string commands_body(std::uint64_t fencing_token,
                           const std::vector<core::TaskCommand>& commands);
-/// The commands of a direct call; only these carry the agent epoch that they are meant for.
+/// Returns the body of a direct call. Unlike a heartbeat response it carries the agent epoch that
+/// the commands are valid for.
 std::string direct_commands_body(const core::DirectCommand& call);
-/// Names the controller that takes heartbeats; an empty name: none is known.
-std::string redirect_body(const std::string& node);
+/// Returns the body of a redirect to the leader; `leader` is empty if the leader is unknown.
+std::string redirect_body(const std::string& leader);
 
 }  // namespace bendspindle::wire
--- a/src/wire/cbor.cpp
+++ b/src/wire/cbor.cpp
@@ -4,30 +4,31 @@
 
 namespace {
 
-constexpr int deepest = 12;
+constexpr int max_depth = 12;
 
-// Builds the document, but gives up on nesting that no message of ours has: the parser recurses,
-// and 64 KiB of opening brackets would run a small thread stack over. A claimed length beyond any
-// body is refused here too: the base class throws on one, through every `parse`.
+// Builds the document, but rejects nesting deeper than that of any message of the protocol: the
+// parser recurses, and 64 KiB of opening brackets would overflow a small thread stack. Also rejects
+// a declared length that exceeds any body: for such a length the base class throws, even if
+// exceptions are disabled.
 class BoundedBuilder : public nlohmann::detail::json_sax_dom_parser<Value> {
   public:
     using Base = nlohmann::detail::json_sax_dom_parser<Value>;
     explicit BoundedBuilder(Value& root) : Base(root, false) {}
     bool start_object(std::size_t size) {
-        return plausible(size) && ++depth_ <= deepest && Base::start_object(size);
+        return is_plausible(size) && ++depth_ <= max_depth && Base::start_object(size);
     }
     bool end_object() { return --depth_, Base::end_object(); }
     bool start_array(std::size_t size) {
-        return plausible(size) && ++depth_ <= deepest && Base::start_array(size);
+        return is_plausible(size) && ++depth_ <= max_depth && Base::start_array(size);
     }
     bool end_array() { return --depth_, Base::end_array(); }
     bool binary(Value::binary_t&) { return false; }
 
   private:
-    static bool plausible(std::size_t size) {
+    static bool is_plausible(std::size_t size) {
         constexpr auto indefinite = static_cast<std::size_t>(-1);
-        constexpr std::size_t longest_answer = 4 * 1024 * 1024;
-        return size == indefinite || size <= longest_answer;
+        constexpr std::size_t max_response_bytes = 4 * 1024 * 1024;
+        return size == indefinite || size <= max_response_bytes;
     }
     int depth_ = 0;
 };
--- a/src/wire/cbor.hpp
+++ b/src/wire/cbor.hpp
@@ -1,5 +1,5 @@
-/// CBOR as a document tree: the encoding of all messages to and from users, agents, the cloud and
-/// the key-value store. Called by the codecs of this directory and by the command line.
+/// CBOR encoding and decoding of document trees. All messages to and from users, agents, the cloud
+/// and the key-value store use CBOR. Used by the codecs of this directory and by the command line.
 #pragma once
 
 #include <cstddef>
@@ -12,11 +12,11 @@
 
 using Value = nlohmann::json;
 
-/// The largest request body that is read, in bytes.
-constexpr std::size_t most_body = 64 * 1024;
+/// The maximum size of a request body.
+constexpr std::size_t max_request_bytes = 64 * 1024;
 
-/// Parses CBOR with a bound on nesting; nullopt for anything malformed or cut off. Never throws:
-/// the body comes from a stranger.
+/// Parses CBOR with a limit on the nesting depth. Returns nullopt if the body is malformed or
+/// truncated. Never throws, because the body comes from an untrusted sender.
 std::optional<Value> parse_cbor(std::string_view body);
 [[nodiscard]] std::string to_cbor(const Value& value);
 
--- a/src/wire/cloud.cpp
+++ b/src/wire/cloud.cpp
@@ -1,9 +1,9 @@
-// The wire's fields and the code's terms:
+// Field names on the wire and the corresponding terms in the code:
 //   sku, build       machine type                 uid, spindles   machine name, machines
 //   cores, cards     cpus, gpus                   hall, halls     zone, zones
 //   ram_gb           memory_gb                    loaners         spot
-//   rate             price per hour                startup_s       boot time
-//   hire             id of the scale-out request  truncated       pages follow
+//   rate             price per hour               startup_s       boot time
+//   hire             id of the scale-out request  truncated       more pages follow
 #include "wire/cloud.hpp"
 
 #include "wire/fields.hpp"
@@ -37,7 +37,7 @@
     machine.type = fields.text("build");
     machine.zone = fields.text("hall");
     machine.spot = fields.flag("loaners");
-    machine.stage = fields.named(stage_names, "stage");
+    machine.stage = fields.enum_value(stage_names, "stage");
     if (fields.has("age_s")) machine.age = fields.seconds("age_s");
     return machine;
 }
--- a/src/wire/cloud.hpp
+++ b/src/wire/cloud.hpp
@@ -1,5 +1,6 @@
-/// Calls to the cloud: its catalog, the list of machines, scaling out and in. Called by `cloud`
-/// alone; the map from the wire's fields to the code's terms is in cloud.cpp.
+/// Codecs of the calls to the cloud: its catalog, the list of machines, scale-out and release. Used
+/// only by `cloud`; cloud.cpp lists the field names on the wire and the corresponding terms in the
+/// code.
 #pragma once
 
 #include <optional>
@@ -15,23 +16,24 @@
 inline constexpr const char* catalog = "/catalog";
 inline constexpr const char* machines = "/machines";
 inline constexpr const char* release = "/machines/release";
-/// The path of one page: at most `limit` machines, those after the name `after`.
+/// Returns the path of one page of the machine list: at most `limit` machines, starting after the
+/// machine named `after`, or with the first one if it is empty.
 std::string list(const std::string& after, unsigned limit);
 }  // namespace path
 
-/// Readers return nullopt for a malformed body.
+/// The parse functions return nullopt for a malformed body.
 std::optional<std::vector<core::MachineType>> parse_catalog(std::string_view body);
 std::string rent_body(const core::ScaleOutRequest& request);
-/// The names of the new machines; there may be fewer of them than were asked for.
+/// Returns the names of the new machines, which may be fewer than requested.
 std::optional<std::vector<std::string>> parse_scale_out_response(std::string_view body);
 std::string release_body(const std::vector<std::string>& names);
 
 /// One page of the machine list.
 struct MachineList {
     std::vector<core::ListedMachine> machines;
-    bool more = false;  ///< pages follow
+    bool more = false;  ///< more pages follow
 };
-/// One page, with the machines of every stage.
+/// Parses one page, which contains machines in every stage.
 std::optional<MachineList> parse_list(std::string_view body);
 
 }  // namespace bendspindle::wire
--- a/src/wire/fields.cpp
+++ b/src/wire/fields.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-constexpr double most_amount = 1e9;
-constexpr std::size_t longest_text = 200;
+constexpr double max_amount = 1e9;
+constexpr std::size_t max_text_length = 200;
 
-[[noreturn]] void refuse(const char* field, const char* reason) {
+[[noreturn]] void reject(const char* field, const char* reason) {
     throw Malformed(field, reason);
 }
 
@@ -34,24 +34,24 @@
 
 const Value& Fields::value(const char* name) const {
     const auto it = map_->find(name);
-    if (it == map_->end()) refuse(name, "is missing");
+    if (it == map_->end()) reject(name, "is missing");
     return *it;
 }
 
 std::string Fields::text(const char* name) const {
     const auto& field = value(name);
-    if (!field.is_string()) refuse(name, "is not text");
+    if (!field.is_string()) reject(name, "is not text");
     const auto& text = field.get_ref<const std::string&>();
-    if (text.size() > longest_text) refuse(name, "is too long");
+    if (text.size() > max_text_length) reject(name, "is too long");
     return text;
 }
 
 double Fields::amount(const char* name) const {
     const auto& field = value(name);
-    if (!field.is_number()) refuse(name, "is not a number");
+    if (!field.is_number()) reject(name, "is not a number");
     const double number = field.get<double>();
-    if (!std::isfinite(number) || number < 0 || number > most_amount)
-        refuse(name, "is out of range");
+    if (!std::isfinite(number) || number < 0 || number > max_amount)
+        reject(name, "is out of range");
     return number;
 }
 
@@ -60,25 +60,25 @@
     if (field.is_number_unsigned()) return field.get<std::uint64_t>();
     if (field.is_number_integer() && field.get<std::int64_t>() >= 0)
         return static_cast<std::uint64_t>(field.get<std::int64_t>());
-    refuse(name, "is not a whole number");
+    reject(name, "is not a whole number");
 }
 
 bool Fields::flag(const char* name) const {
     const auto& field = value(name);
-    if (!field.is_boolean()) refuse(name, "is not true or false");
+    if (!field.is_boolean()) reject(name, "is not true or false");
     return field.get<bool>();
 }
 
 const Value& Fields::list(const char* name) const {
     const auto& field = value(name);
-    if (!field.is_array()) refuse(name, "is not a list");
+    if (!field.is_array()) reject(name, "is not a list");
     return field;
 }
 
 std::vector<Fields> Fields::maps(const char* name) const {
     std::vector<Fields> out;
     for (const auto& element : list(name)) {
-        if (!element.is_object()) refuse(name, "holds what is not a map");
+        if (!element.is_object()) reject(name, "holds what is not a map");
         out.emplace_back(element);
     }
     return out;
--- a/src/wire/fields.hpp
+++ b/src/wire/fields.hpp
@@ -1,6 +1,6 @@
-/// Typed reading of a message's fields, shared by the codecs and used by nothing else. Each reader
-/// checks that the field is there, has its type and is within bounds, and throws `Malformed` with
-/// the field's name otherwise; no exception leaves the codecs.
+/// Typed access to the fields of a message, used only by the codecs. Each accessor checks that the
+/// field exists, has the expected type and is within bounds, and otherwise throws `Malformed` with
+/// the name of the field. The codecs catch this exception.
 #pragma once
 
 #include <array>
@@ -18,15 +18,17 @@
 
 namespace bendspindle::wire {
 
-/// A message that breaks the protocol. `what()` is the text that its sender gets: the field's name
-/// on the wire and the reason.
+/// A message that violates the protocol. `what()` is the error text for the sender: the name of the
+/// field on the wire and the reason.
 class Malformed : public std::runtime_error {
   public:
-    /// The message as a whole is wrong.
+    /// Reports the whole message as malformed.
     explicit Malformed(std::string reason);
+    /// Reports one field as malformed; `field` is its name on the wire.
     Malformed(std::string field, std::string reason);
 
-    /// Its name on the wire; nullopt where no single field is to blame.
+    /// Returns the name of the field on the wire; nullopt if the error does not concern a single
+    /// field.
     [[nodiscard]] const std::optional<std::string>& field() const { return field_; }
     [[nodiscard]] const std::string& reason() const { return reason_; }
 
@@ -35,38 +37,39 @@
     std::string reason_;
 };
 
-/// The names on the wire for the values of an enumeration.
+/// The names of the values of an enumeration on the wire.
 template <typename Enum, std::size_t size>
 using NameTable = std::array<std::pair<const char*, Enum>, size>;
 
-/// The fields of one map, which must outlive the reader.
+/// Reads the fields of one map, which must outlive the reader.
 class Fields {
   public:
     explicit Fields(const Value& map);
     explicit Fields(Value&& map) = delete;
 
+    /// Returns whether the field exists; its value may be null.
     bool contains(const char* name) const { return map_->contains(name); }
-    /// Whether the field is there and not null.
+    /// Returns whether the field exists and is not null.
     bool has(const char* name) const;
     const Value& value(const char* name) const;
     std::string text(const char* name) const;
-    /// A finite number that is not negative.
+    /// Returns the field as a finite number from 0 to 1e9.
     double amount(const char* name) const;
     core::Seconds seconds(const char* name) const { return core::Seconds(amount(name)); }
-    /// A whole number from 0.
+    /// Returns the field as a non-negative integer.
     std::uint64_t count(const char* name) const;
-    /// True or false.
+    /// Returns the field as a boolean.
     bool flag(const char* name) const;
-    /// A list of anything; what it holds is for the caller to check.
+    /// Returns the list in the field. Its elements are not checked.
     const Value& list(const char* name) const;
-    /// A list that holds nothing but maps.
+    /// Returns a reader of each map in the list of the field; every element must be a map.
     std::vector<Fields> maps(const char* name) const;
-    /// A list's texts; what is not text in it is passed over.
+    /// Returns the texts in the list of the field; elements of other types are ignored.
     std::vector<std::string> texts(const char* name) const;
 
-    /// The value that the field's text names in the table.
+    /// Returns the enumeration value whose name in the table equals the text of the field.
     template <typename Enum, std::size_t size>
-    Enum named(const NameTable<Enum, size>& names, const char* field) const {
+    Enum enum_value(const NameTable<Enum, size>& names, const char* field) const {
         const auto found = text(field);
         for (const auto& [name, value] : names)
             if (found == name) return value;
@@ -77,20 +80,20 @@
     const Value* map_;
 };
 
-/// The value's name on the wire; the table holds every value that is ever written.
+/// Returns the name of the value on the wire. The table must contain every value that is written.
 template <typename Enum, std::size_t size>
 const char* name_of(const NameTable<Enum, size>& names, Enum value) {
-    for (const auto& [name, named] : names)
-        if (named == value) return name;
+    for (const auto& [name, candidate] : names)
+        if (candidate == value) return name;
     return names[0].first;
 }
 
-/// The body's map; throws `Malformed` if it is anything else.
+/// Parses the body as a map; throws `Malformed` if it is not one.
 Value parse_map(std::string_view body);
 
-/// What `read` returns, or nullopt if it meets a malformed field.
-template <typename ReadResult>
-auto if_well_formed(ReadResult&& read) -> std::optional<decltype(read())> {
+/// Returns the result of `read`, or nullopt if `read` throws `Malformed`.
+template <typename Read>
+auto if_well_formed(Read&& read) -> std::optional<decltype(read())> {
     try {
         return read();
     } catch (const Malformed&) {
@@ -98,9 +101,10 @@
     }
 }
 
-/// What `read` makes of the fields of the body's map, or nullopt if anything is malformed.
-template <typename ReadResult>
-auto parse_fields(std::string_view body, ReadResult&& read) {
+/// Calls `read` with the fields of the map in the body. Returns its result, or nullopt if the body
+/// is malformed.
+template <typename Read>
+auto parse_fields(std::string_view body, Read&& read) {
     return if_well_formed([&] {
         const auto map = parse_map(body);
         return read(Fields(map));
--- a/src/wire/http_status.hpp
+++ b/src/wire/http_status.hpp
@@ -1,5 +1,5 @@
-/// The HTTP statuses that the protocol uses, by name. They are plain ints because the HTTP library
-/// and the peer frames carry them as numbers.
+/// The HTTP status codes that the protocol uses. They are plain ints because the HTTP library and
+/// the peer frames carry them as numbers.
 #pragma once
 
 namespace bendspindle::wire::http_status {
@@ -12,11 +12,11 @@
 inline constexpr int conflict = 409;
 inline constexpr int gone = 410;
 inline constexpr int payload_too_large = 413;
-/// This controller does not lead; the body may name the one that does.
+/// This controller is not the leader; the body may name the leader.
 inline constexpr int misdirected = 421;
 inline constexpr int unprocessable = 422;
 inline constexpr int too_many_requests = 429;
-/// Nothing is known or done now; the same request may be repeated.
+/// The request cannot be processed now and may be repeated.
 inline constexpr int service_unavailable = 503;
 
 }  // namespace bendspindle::wire::http_status
--- a/src/wire/job_spec.cpp
+++ b/src/wire/job_spec.cpp
@@ -1,4 +1,4 @@
-// The wire's fields and the code's terms:
+// Field names on the wire and the corresponding terms in the code:
 //   uid              job id                       lane, crew      job class, team
 //   shape            kind: batch = job array, ensemble = gang, daemon = service
 //   urgency          priority: critical = production, urgent = high, standard = normal
@@ -6,7 +6,7 @@
 //   ram_gb           memory_gb                    blueprint       image
 //   pull_gb          image_gb                     builds          machine types it can run on
 //   hall             zone                         together        one_zone
-//   apart            spread over machines         loaners         spot machines will do
+//   apart            spread over machines         loaners         may run on spot machines
 //   expect_s         estimated run time           notch_s         checkpoint interval
 //   stow_s           time to save a checkpoint    due_s           deadline
 #include "wire/job_spec.hpp"
@@ -22,8 +22,8 @@
 
 namespace {
 
-constexpr std::uint32_t most_tasks = 100'000;
-constexpr std::size_t most_types_text = 4096;
+constexpr std::uint32_t max_tasks = 100'000;
+constexpr std::size_t max_types_length = 4096;
 
 constexpr NameTable<core::Kind, 3> kind_names{{{"batch", core::Kind::array},
                                                {"ensemble", core::Kind::gang},
@@ -40,8 +40,8 @@
         if (!type.is_string()) throw Malformed("builds", "holds what is not text");
         types.push_back(type.get<std::string>());
         length += types.back().size() + 3;
-        // A record that is too large for the key-value store could never be written.
-        if (length > most_types_text) throw Malformed("builds", "is too long");
+        // Limits the size of the job record, which must fit into a value of the key-value store.
+        if (length > max_types_length) throw Malformed("builds", "is too long");
     }
     return types;
 }
@@ -50,8 +50,9 @@
 
 bool valid_job_id(std::string_view id) {
     constexpr std::string_view prefix = "job-";
-    constexpr std::size_t longest = 64;
-    if (id.size() <= prefix.size() || id.size() > longest || !id.starts_with(prefix)) return false;
+    constexpr std::size_t max_length = 64;
+    if (id.size() <= prefix.size() || id.size() > max_length || !id.starts_with(prefix))
+        return false;
     return std::all_of(id.begin(), id.end(), [](char c) {
         return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
                c == '-' || c == '_';
@@ -65,10 +66,10 @@
     if (!valid_job_id(spec.id)) throw Malformed("uid", "has not the form of a job id");
     spec.job_class = fields.text("lane");
     spec.team = fields.text("crew");
-    spec.kind = fields.named(kind_names, "shape");
-    spec.priority = fields.named(priority_names, "urgency");
+    spec.kind = fields.enum_value(kind_names, "shape");
+    spec.priority = fields.enum_value(priority_names, "urgency");
     const auto tasks = fields.count("pieces");
-    if (tasks < 1 || tasks > most_tasks) throw Malformed("pieces", "is out of range");
+    if (tasks < 1 || tasks > max_tasks) throw Malformed("pieces", "is out of range");
     spec.tasks = static_cast<std::uint32_t>(tasks);
     spec.need = {fields.amount("cores"), fields.amount("cards"), fields.amount("ram_gb")};
     spec.image = fields.text("blueprint");
--- a/src/wire/job_spec.hpp
+++ b/src/wire/job_spec.hpp
@@ -1,6 +1,6 @@
-/// The form of a job as its user wrote it: the body of a submission, and a part of the job's stored
-/// record. Called by the codecs of user messages and of records; the map from the wire's fields to
-/// the code's terms is in job_spec.cpp.
+/// Codec of job specifications: the body of a submission, and a part of the stored job record. Used
+/// by the codecs of user messages and of records; job_spec.cpp lists the field names on the wire
+/// and the corresponding terms in the code.
 #pragma once
 
 #include <string_view>
@@ -10,10 +10,12 @@
 
 namespace bendspindle::wire {
 
-/// Whether this has the form of a job id: `job-` and letters, digits, `-` and `_`, 64 at most.
+/// Returns whether the text is a valid job id: `job-` followed by letters, digits, `-` and `_`,
+/// with at most 64 characters in total.
 [[nodiscard]] bool valid_job_id(std::string_view id);
 
-/// Throws `Malformed` (wire/fields.hpp) with the name of the field that is wrong.
+/// Reads a job specification; throws `Malformed` (wire/fields.hpp) with the name of an invalid
+/// field.
 [[nodiscard]] core::JobSpec read_job_spec(const Value& map);
 [[nodiscard]] Value job_spec_value(const core::JobSpec& spec);
 
--- a/src/wire/key_value_store.cpp
+++ b/src/wire/key_value_store.cpp
@@ -1,11 +1,11 @@
-// The wire's fields and the code's terms:
+// Field names on the wire and the corresponding terms in the code:
 //   path, v          key, value                   stamp           mod_revision of a key
 //   ledger_tick      revision of the store        loan            lease
-//   pairs, events    entries                      truncated       pages follow
+//   pairs, events    entries                      truncated       more pages follow
 //   if, apply        conditions and operations of a compare-and-swap (path /txn)
 //   failed           keys whose conditions did not hold
 //   life_ms          time to live of a lease      touch (path)    keep a lease alive
-//   starts, since    prefix; the key, or of a watch the revision, to begin after
+//   starts, since    prefix; key (in a watch: revision) to start after
 #include "wire/key_value_store.hpp"
 
 #include <utility>
@@ -43,7 +43,7 @@
 
 namespace {
 
-// An entry whose key stands under this name.
+// Reads an entry; `key_field` is the name of the field that holds its key.
 Entry read_entry(const Fields& fields, const char* key_field) {
     return {fields.text(key_field), fields.value("v"), fields.count("stamp")};
 }
@@ -106,8 +106,8 @@
     });
 }
 
-std::string lease_body(std::chrono::milliseconds life) {
-    return to_cbor(Value{{"life_ms", life.count()}});
+std::string lease_body(std::chrono::milliseconds time_to_live) {
+    return to_cbor(Value{{"life_ms", time_to_live.count()}});
 }
 
 std::optional<std::uint64_t> parse_lease(std::string_view body) {
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -9,8 +9,9 @@
 namespace {
 
 constexpr std::uint8_t answer_kind = 0x80;
-// In bytes, of a snapshot's list, so that it and the answer's own fields fit into a frame.
-constexpr std::size_t most_snapshot = most_payload - 64;
+// Limits the list of a snapshot so that it fits into a frame together with the other fields of the
+// answer.
+constexpr std::size_t max_snapshot_bytes = max_payload_bytes - 64;
 
 template <typename Int>
 void put(std::string& out, Int value) {
@@ -19,7 +20,8 @@
         out.push_back(static_cast<char>(value >> shift & 0xff));
 }
 
-// Reads fixed-width fields; once bytes run out, `good` is false and zeros are returned.
+// Reads fixed-width fields. After a read beyond the end, all values are zero or empty and
+// `finished` returns false.
 class Reader {
   public:
     explicit Reader(std::string_view bytes) : bytes_(bytes) {}
@@ -86,16 +88,16 @@
 
 std::string pack(const CancellationSnapshot& snapshot) {
     std::string list;
-    std::uint32_t number = 0;
+    std::uint32_t count = 0;
     bool complete = snapshot.complete;
     for (const auto& id : snapshot.cancelled) {
-        if (list.size() + sizeof(std::uint16_t) + id.size() > most_snapshot) {
+        if (list.size() + sizeof(std::uint16_t) + id.size() > max_snapshot_bytes) {
             complete = false;
             break;
         }
         put<std::uint16_t>(list, static_cast<std::uint16_t>(id.size()));
         list += id;
-        ++number;
+        ++count;
     }
     const auto put_time = [](std::string& to, std::chrono::milliseconds time) {
         const auto bounded = std::clamp<std::chrono::milliseconds::rep>(
@@ -106,7 +108,7 @@
     put_time(out, snapshot.age);
     put_time(out, snapshot.memory);
     put<std::uint8_t>(out, complete ? 1 : 0);
-    put<std::uint32_t>(out, number);
+    put<std::uint32_t>(out, count);
     return out += list;
 }
 
@@ -116,9 +118,9 @@
     if (in.get<std::uint8_t>() != version) return {{}, HeaderError::version};
     ParsedHeader out;
     out.header.kind = in.get<std::uint8_t>();
-    const auto zero = in.get<std::uint16_t>();
+    const auto reserved = in.get<std::uint16_t>();
     out.header.length = in.get<std::uint32_t>();
-    if (zero != 0 || out.header.length > most_payload) out.error = HeaderError::malformed;
+    if (reserved != 0 || out.header.length > max_payload_bytes) out.error = HeaderError::malformed;
     return out;
 }
 
@@ -154,10 +156,10 @@
     out.age = std::chrono::milliseconds(in.get<std::uint32_t>());
     out.memory = std::chrono::milliseconds(in.get<std::uint32_t>());
     const auto complete = in.get<std::uint8_t>();
-    const auto number = in.get<std::uint32_t>();
-    if (complete > 1 || number > body.size() / sizeof(std::uint16_t)) return std::nullopt;
+    const auto count = in.get<std::uint32_t>();
+    if (complete > 1 || count > body.size() / sizeof(std::uint16_t)) return std::nullopt;
     out.complete = complete == 1;
-    for (std::uint32_t i = 0; i < number; ++i)
+    for (std::uint32_t i = 0; i < count; ++i)
         out.cancelled.push_back(in.text(in.get<std::uint16_t>()));
     if (!in.finished()) return std::nullopt;
     return out;
--- a/src/wire/peer.hpp
+++ b/src/wire/peer.hpp
@@ -1,7 +1,7 @@
-/// The frames between controllers: structs packed by hand, big-endian, versioned and checked for
-/// length before anything is read. Called by io/peer_link, which carries them, and by `leadership`
-/// and the daemon, which fill them in. `parse_*` return nullopt for anything malformed, and never
-/// throw.
+/// The frames that controllers exchange: hand-packed big-endian structs with a version and a length
+/// that are checked before the payload is read. io/peer_link transports the frames; `leadership`
+/// and the daemon create and interpret them. The parse functions return nullopt for a malformed
+/// frame and never throw.
 #pragma once
 
 #include <chrono>
@@ -16,10 +16,10 @@
 namespace bendspindle::wire::peer {
 
 constexpr std::uint8_t version = 1;
-constexpr std::size_t header_size = 8;            ///< in bytes
-constexpr std::size_t most_payload = 128 * 1024;  ///< in bytes
+constexpr std::size_t header_size = 8;  ///< in bytes
+constexpr std::size_t max_payload_bytes = 128 * 1024;
 
-/// The kind of a request, as it stands in the frame.
+/// The kind of a request, with its value in the frame.
 enum class Op : std::uint8_t {
     status = 2,
     cancel = 3,
@@ -29,22 +29,24 @@
     cancelled = 7
 };
 
-/// Frame: u8 version, u8 kind, u16 zero, u32 payload length.
+/// The header of a frame. Packed: u8 version, u8 kind, u16 zero, u32 payload length.
 struct Header {
     std::uint8_t kind = 0;
     std::uint32_t length = 0;
 };
-/// `version`: the peer runs a program of another protocol version.
+/// `version` means that the peer uses a different version of the protocol.
 enum class HeaderError : std::uint8_t { none, version, malformed };
+/// A header, valid only if `error` is `none`.
 struct ParsedHeader {
     Header header;
     HeaderError error = HeaderError::none;
 };
 
-/// A user's or agent's request that is forwarded to the leader (`status`, `cancel`, `heartbeat`);
-/// or the announcement of the leader that the id names, for this term (`leader_announcement`); or
-/// that the leader is about to confirm the cancellation of the job that the id names (`cancelled`);
-/// or the question for a `CancellationSnapshot` (`cancellation_snapshot`).
+/// A request to a peer. The operation is one of:
+/// - `status`, `cancel`, `heartbeat`: a request of a user or an agent, forwarded to the leader.
+/// - `leader_announcement`: announces the controller named by `id` as the leader of `term`.
+/// - `cancelled`: the leader is about to confirm the cancellation of the job with this `id`.
+/// - `cancellation_snapshot`: asks for a `CancellationSnapshot`.
 ///
 /// Packed: u64 sender's term, u16 id length, id, u32 body length, body.
 struct Request {
@@ -54,35 +56,42 @@
     std::string body;
 };
 
+/// The answer to a request.
+///
 /// Packed: u16 status, u16 retry-after seconds, u64 term, u32 body length, body.
 struct Answer {
     std::uint16_t status = http_status::service_unavailable;
-    std::uint16_t retry_after = 0;  ///< in seconds; 0: none
+    std::uint16_t retry_after = 0;  ///< in seconds; 0 if there is none
     std::uint64_t term = 0;
     std::string body;
 };
 
 /// The recently cancelled jobs that the sender knows of, in the answer to `cancellation_snapshot`.
-/// Status 200: the sender leads; 421: it does not, and knows who leads; 503, without a snapshot:
-/// neither.
+/// The status of the answer is 200 if the sender is the leader, 421 if it is not but knows the
+/// leader, and 503, without a snapshot, otherwise.
 ///
-/// Packed: u32 age in ms, u32 memory in ms, u8 complete, u32 number, and so many of: u16 length,
-/// id.
+/// Packed: u32 age in ms, u32 memory in ms, u8 complete, u32 count, and `count` times: u16 id
+/// length, id.
 struct CancellationSnapshot {
-    /// Of the leader: until this long ago nobody else can have confirmed a cancellation.
+    /// From a leader: how long ago it was last certain to be the only leader. No other controller
+    /// can have confirmed a cancellation before that time.
     std::chrono::milliseconds age{0};
-    /// For this long the sender has known the leader and stored what it announced.
+    /// The time for which the sender has known the leader and stored the cancellations that the
+    /// leader announced.
     std::chrono::milliseconds memory{0};
-    /// Of the leader: all confirmed cancellations that may matter are among these, those of former
-    /// terms too. Of others: nothing is left out that they know.
+    /// From a leader: `cancelled` contains all confirmed cancellations that may still be relevant,
+    /// including those of earlier terms. From other controllers: `cancelled` contains all
+    /// cancellations that they know.
     bool complete = false;
     std::vector<std::string> cancelled;
 };
 
-/// A whole frame, header included.
+/// Returns a complete frame, including the header.
 std::string pack(const Request& request);
+/// Returns a complete frame, including the header.
 std::string pack(const Answer& answer);
-/// The body of an answer. Leaves out what would not fit into a frame, and is not complete then.
+/// Returns the body of an answer. Omits jobs that would not fit into a frame; the packed snapshot
+/// is then marked as not complete.
 std::string pack(const CancellationSnapshot& snapshot);
 ParsedHeader parse_header(std::string_view bytes);
 std::optional<Request> parse_request(std::uint8_t kind, std::string_view payload);
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -1,9 +1,9 @@
-// The stored fields and the code's terms:
-//   epoch, steward   term, leader (of the record `view`)
+// Stored field names and the corresponding terms in the code:
+//   epoch, steward   term, leader (in the record `view`)
 //   returns          consecutive restarts of the leader
 //   final            terminal state               home            controller that admitted the job
-//   attempt          last attempt given to a task
-//   done             completed tasks: ranges, or a bitmap
+//   attempt          last attempt number assigned to a task
+//   done             completed tasks, as ranges or as a bitmap
 #include "wire/records.hpp"
 
 #include <algorithm>
@@ -17,14 +17,15 @@
 
 namespace {
 
-constexpr std::size_t most_ranges = 1500;
+constexpr std::size_t max_ranges = 1500;
 constexpr std::uint64_t max_consecutive_restarts = 1000;
 
 constexpr NameTable<core::TerminalState, 2> terminal_state_names{
     {{"cancelled", core::TerminalState::cancelled}, {"done", core::TerminalState::done}}};
 
-// One hexadecimal digit for four tasks, the first of them in its lowest bit.
-std::string bitmap_of(const std::vector<core::TaskRange>& ranges, std::uint32_t tasks) {
+// Encodes the ranges as a bitmap: one hexadecimal digit for four tasks, with the first task in the
+// lowest bit.
+std::string to_bitmap(const std::vector<core::TaskRange>& ranges, std::uint32_t tasks) {
     std::vector<unsigned> nibbles((tasks + 3) / 4, 0);
     for (const auto& [first, last] : ranges)
         for (auto i = first; i <= last; ++i) nibbles[i / 4] |= 1U << (i % 4);
@@ -33,7 +34,7 @@
     return digits;
 }
 
-std::vector<core::TaskRange> ranges_of(const std::string& bitmap) {
+std::vector<core::TaskRange> from_bitmap(const std::string& bitmap) {
     std::vector<core::TaskRange> out;
     for (std::uint32_t n = 0; n < bitmap.size(); ++n) {
         const unsigned nibble = bitmap[n] <= '9' ? static_cast<unsigned>(bitmap[n] - '0')
@@ -50,10 +51,10 @@
     return out;
 }
 
-// Completed tasks are ranges while they are few, else a hexadecimal bitmap: 100,000 tasks in any
-// pattern still fit the values of the key-value store.
+// Encodes completed tasks as ranges if there are few, and as a hexadecimal bitmap otherwise, so
+// that any subset of 100,000 tasks fits into a value of the key-value store.
 Value completed_tasks_value(const std::vector<core::TaskRange>& ranges, std::uint32_t tasks) {
-    if (ranges.size() > most_ranges) return bitmap_of(ranges, tasks);
+    if (ranges.size() > max_ranges) return to_bitmap(ranges, tasks);
     Value out = Value::array();
     for (const auto& [first, last] : ranges) {
         out.push_back(first);
@@ -63,7 +64,7 @@
 }
 
 std::vector<core::TaskRange> read_completed_tasks(const Value& value) {
-    if (value.is_string()) return ranges_of(value.get_ref<const std::string&>());
+    if (value.is_string()) return from_bitmap(value.get_ref<const std::string&>());
     std::vector<core::TaskRange> out;
     if (!value.is_array()) return out;
     for (std::size_t i = 0; i + 1 < value.size(); i += 2)
@@ -103,7 +104,7 @@
 }
 
 std::optional<core::TerminalState> parse_terminal_record(const Value& value) {
-    return if_well_formed([&] { return Fields(value).named(terminal_state_names, "final"); });
+    return if_well_formed([&] { return Fields(value).enum_value(terminal_state_names, "final"); });
 }
 
 Value machine_record(const core::ListedMachine& machine) {
@@ -137,7 +138,7 @@
 std::optional<LeadershipRecord> parse_leadership_record(const Value& value) {
     return if_well_formed([&] {
         const Fields fields(value);
-        // Records of older programs do not count them.
+        // Records written by older versions do not have this field.
         const auto restarts = fields.has("returns") ? fields.count("returns") : 0;
         return LeadershipRecord{
             fields.count("epoch"), fields.text("steward"),
--- a/src/wire/records.hpp
+++ b/src/wire/records.hpp
@@ -1,7 +1,8 @@
-/// The records that controllers keep in the key-value store: open jobs, jobs in a terminal state,
-/// machines, and who leads. Called by `state` and `leadership`; the map from the stored fields to
-/// the code's terms is in records.cpp. Programs of other versions read them too, so their form only
-/// ever grows. Readers return nullopt for a malformed record.
+/// Codecs of the records that controllers keep in the key-value store: open jobs, jobs in a
+/// terminal state, machines and the leadership record. Used by `state` and `leadership`;
+/// records.cpp lists the stored field names and the corresponding terms in the code. Other versions
+/// of the program read the same records, so fields may be added but not removed or changed. The
+/// parse functions return nullopt for a malformed record.
 #pragma once
 
 #include <cstdint>
@@ -14,24 +15,25 @@
 
 namespace bendspindle::wire {
 
-/// An open job: what its user asked for, and which tasks are completed.
+/// Returns the record of an open job: its specification and its completed tasks.
 Value job_record(const core::JobRecord& record);
 std::optional<core::JobRecord> parse_job_record(const Value& value);
 
-/// What stays of a job in a terminal state.
+/// Returns the record that is kept of a job in a terminal state.
 Value terminal_record(const core::JobRecord& record);
 std::optional<core::TerminalState> parse_terminal_record(const Value& value);
 
-/// A machine; its name is in the key.
+/// Returns the record of a machine. The key contains the name of the machine.
 Value machine_record(const core::ListedMachine& machine);
 std::optional<core::ListedMachine> parse_machine_record(const std::string& name,
                                                         const Value& value);
 
-/// Who leads, under which term.
+/// The current leader and its term.
 struct LeadershipRecord {
     std::uint64_t term = 0;
     std::string leader;
-    /// Incarnations of this leader that were elected one after the other without any progress.
+    /// Number of consecutive incarnations of this leader that were elected without making any
+    /// progress.
     std::uint32_t consecutive_restarts = 0;
 };
 Value leadership_record(const LeadershipRecord& record);
--- a/src/wire/response.hpp
+++ b/src/wire/response.hpp
@@ -1,4 +1,4 @@
-/// What a controller answers to a user, an agent or a peer, before the daemon puts it on the wire.
+/// The response of a controller to a user, an agent or a peer, before the daemon sends it.
 #pragma once
 
 #include <string>
@@ -8,16 +8,17 @@
 
 namespace bendspindle::wire {
 
-/// A status, a CBOR body, and what the `Retry-After` header says.
+/// A status, a CBOR body and the value of the `Retry-After` header.
 struct Response {
     int status = http_status::service_unavailable;
-    int retry_after = 0;  ///< in seconds; 0: the header is left out
+    int retry_after = 0;  ///< in seconds; 0 omits the header
     std::string body;
 };
 
-/// 503: the same may be asked again after `retry_after` seconds, or of another controller.
-[[nodiscard]] inline Response unavailable(const std::string& why, int retry_after = 1) {
-    return {http_status::service_unavailable, retry_after, wire::error_body(why)};
+/// Returns a response with status 503: the request may be repeated after `retry_after` seconds, or
+/// sent to another controller.
+[[nodiscard]] inline Response unavailable(const std::string& reason, int retry_after = 1) {
+    return {http_status::service_unavailable, retry_after, wire::error_body(reason)};
 }
 
 }  // namespace bendspindle::wire
--- a/src/wire/user_messages.cpp
+++ b/src/wire/user_messages.cpp
@@ -1,4 +1,5 @@
-// The wire's fields and the code's terms (a job's own fields: job_spec.cpp):
+// Field names on the wire and the corresponding terms in the code (job_spec.cpp lists those of job
+// specifications):
 //   uid              job id
 //   stage            state: queued, running; terminal: done, aborted = cancelled
 //   done, running    number of completed tasks, of running tasks
@@ -54,8 +55,8 @@
     return std::nullopt;
 }
 
-std::string error_body(const std::string& why) {
-    return to_cbor(Value{{"error", why}});
+std::string error_body(const std::string& reason) {
+    return to_cbor(Value{{"error", reason}});
 }
 
 }  // namespace bendspindle::wire
--- a/src/wire/user_messages.hpp
+++ b/src/wire/user_messages.hpp
@@ -1,6 +1,6 @@
-/// Requests of users and their answers: submitting a job, asking for its status, cancelling it.
-/// Called by the API's handlers and by the command line; the map from the wire's fields to the
-/// code's terms is in user_messages.cpp.
+/// Codecs of the requests of users and their responses: job submission, status and cancellation.
+/// Used by the API handlers and by the command line; user_messages.cpp lists the field names on the
+/// wire and the corresponding terms in the code.
 #pragma once
 
 #include <optional>
@@ -18,19 +18,21 @@
 inline constexpr const char* health = "/healthz";
 }  // namespace path
 
-/// The job, or the reason why the request is malformed.
+/// The job, or the error if the request is malformed.
 struct ParsedJob {
     std::optional<core::JobSpec> job;
     std::string error;
 };
 ParsedJob parse_job(std::string_view body);
-/// The body of a submission.
+/// Returns the body of a job submission.
 std::string job_body(const core::JobSpec& spec);
-/// The counts of tasks are left out where only the state is known.
+/// Returns the body of a status response. `with_counts` is false if only the state is known; the
+/// task counts are then omitted.
 std::string status_body(const std::string& id, const core::JobStatus& status, bool with_counts);
-/// The terminal state in such a body; nullopt if the job is open or the body malformed.
+/// Returns the terminal state in the body of a status response; nullopt if the job is open or the
+/// body is malformed.
 std::optional<core::TerminalState> terminal_state_in_status(std::string_view body);
-/// Why a request was refused: the body of every error, also of those that agents get.
-std::string error_body(const std::string& why);
+/// Returns the body of an error response, for users and for agents.
+std::string error_body(const std::string& reason);
 
 }  // namespace bendspindle::wire
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,5 +1,5 @@
-// The codecs of src/wire: round trips, what is refused and by which field, and bytes that are
-// broken.
+// The codecs of src/wire: round trips, rejection of malformed messages with the name of the field,
+// and corrupted bytes.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -63,7 +63,7 @@
     EXPECT_EQ(parsed->tasks[1].attempt, (1ULL << 40) + 5);
 }
 
-TEST(Codec, UnknownFieldsAreIgnoredAndNullsMayBeLeftOut) {
+TEST(Codec, UnknownFieldsAreIgnoredAndNullableFieldsAreOptional) {
     auto m = *parse_cbor(job_body(sample_spec()));
     m["new-field"] = 1;
     m.erase("builds");
@@ -75,8 +75,8 @@
 }
 
 TEST(Codec, MalformedJobsNameTheField) {
-    const auto good = *parse_cbor(job_body(sample_spec()));
-    const std::vector<std::pair<const char*, Value>> wrong{
+    const auto valid = *parse_cbor(job_body(sample_spec()));
+    const std::vector<std::pair<const char*, Value>> invalid_values{
         {"uid", "nonsense"},
         {"uid", 7},
         {"uid", "job-a/b"},
@@ -95,8 +95,8 @@
         {"builds", {1}},
         {"together", 1},
         {"due_s", "soon"}};
-    for (const auto& [field, value] : wrong) {
-        auto m = good;
+    for (const auto& [field, value] : invalid_values) {
+        auto m = valid;
         m[field] = value;
         const auto parsed = parse_job(to_cbor(m));
         EXPECT_FALSE(parsed.job) << field << " = " << value;
@@ -105,7 +105,7 @@
     for (const auto* field : {"uid", "lane", "crew", "shape", "urgency", "pieces", "cores", "cards",
                               "ram_gb", "blueprint", "pull_gb", "together", "apart", "loaners",
                               "expect_s", "notch_s", "stow_s"}) {
-        auto m = good;
+        auto m = valid;
         m.erase(field);
         EXPECT_FALSE(parse_job(to_cbor(m)).job) << field;
     }
@@ -114,26 +114,28 @@
     EXPECT_FALSE(parse_job("{\"uid\":1}").job);
 }
 
-// What BoundedBuilder is for: nesting that fills a body must not overflow the stack.
-TEST(Codec, DeepNestingIsRefused) {
-    EXPECT_FALSE(parse_cbor(std::string(most_body, '\x81')));
-    EXPECT_FALSE(parse_cbor(std::string(most_body, '\x9f')));
-    EXPECT_FALSE(parse_cbor(std::string(most_body, '\xbf')));
+// Without the depth limit of BoundedBuilder, a body full of opening brackets overflows the stack of
+// a thread.
+TEST(Codec, DeepNestingIsRejected) {
+    EXPECT_FALSE(parse_cbor(std::string(max_request_bytes, '\x81')));
+    EXPECT_FALSE(parse_cbor(std::string(max_request_bytes, '\x9f')));
+    EXPECT_FALSE(parse_cbor(std::string(max_request_bytes, '\xbf')));
 }
 
-TEST(Codec, HugeClaimedLengthsAreRefused) {
+TEST(Codec, HugeDeclaredLengthsAreRejected) {
     EXPECT_FALSE(parse_cbor(std::string("\x9b\xff\xff\xff\xff\xff\xff\xff\xf0", 9)));
     EXPECT_FALSE(parse_cbor(std::string("\x7b\x00\x00\x00\xff\xff\xff\xff\xff", 9)));
 }
 
-// Every cut and many flipped bits of good messages: an answer or a refusal, never a crash.
-TEST(Codec, BrokenBytesNeverCrash) {
+// Truncations at every byte and many random corruptions of valid messages are either parsed or
+// rejected, and never crash the process.
+TEST(Codec, CorruptedBytesNeverCrash) {
     std::mt19937 random(20261201);
-    const std::vector<std::string> good{
+    const std::vector<std::string> valid{
         job_body(sample_spec()), heartbeat_body(sample_heartbeat()),
         commands_body(3, {{core::TaskCommand::Verb::stop, "job-1", 0, 4, core::Seconds(3)}}),
         compare_and_swap_body({{"a", 1}}, {{"b", Value{{"x", 1}}, 7}})};
-    const auto feed = [](const std::string& bytes) {
+    const auto parse_all = [](const std::string& bytes) {
         parse_job(bytes);
         parse_heartbeat(bytes);
         parse_catalog(bytes);
@@ -144,16 +146,16 @@
         parse_compare_and_swap(bytes);
         parse_lease(bytes);
     };
-    for (const auto& body : good) {
-        for (std::size_t cut = 0; cut < body.size(); ++cut) feed(body.substr(0, cut));
+    for (const auto& body : valid) {
+        for (std::size_t size = 0; size < body.size(); ++size) parse_all(body.substr(0, size));
         for (int i = 0; i < 2000; ++i) {
-            auto broken = body;
+            auto corrupted = body;
             for (int k = 0; k < 3; ++k)
-                broken[random() % broken.size()] = static_cast<char>(random());
-            feed(broken);
+                corrupted[random() % corrupted.size()] = static_cast<char>(random());
+            parse_all(corrupted);
         }
     }
-    EXPECT_TRUE(parse_job(good[0]).job);
+    EXPECT_TRUE(parse_job(valid[0]).job);
 }
 
 TEST(Codec, JobIds) {
@@ -165,7 +167,7 @@
     EXPECT_FALSE(valid_job_id("job-" + std::string(300, '1')));
 }
 
-TEST(Codec, RecordsOfAnyDoneSetRoundTripAndFitAValue) {
+TEST(Codec, JobRecordWithManyRangesRoundTripsAndFitsAValue) {
     core::JobRecord record;
     record.spec = sample_spec();
     record.spec.tasks = 100'000;
@@ -195,68 +197,69 @@
     EXPECT_EQ(header.header.length, bytes.size() - peer::header_size);
 
     const auto answer = peer::pack(peer::Answer{201, 3, 9, "body"});
-    const auto back = peer::parse_answer(0x80, answer.substr(peer::header_size));
-    ASSERT_TRUE(back);
-    EXPECT_EQ(back->status, 201);
-    EXPECT_EQ(back->retry_after, 3);
-    EXPECT_EQ(back->body, "body");
+    const auto parsed_answer = peer::parse_answer(0x80, answer.substr(peer::header_size));
+    ASSERT_TRUE(parsed_answer);
+    EXPECT_EQ(parsed_answer->status, 201);
+    EXPECT_EQ(parsed_answer->retry_after, 3);
+    EXPECT_EQ(parsed_answer->body, "body");
 }
 
-TEST(Peer, BrokenFramesAreRefused) {
+TEST(Peer, MalformedFramesAreRejected) {
     auto bytes = peer::pack(peer::Request{peer::Op::status, 1, "job-1", "x"});
-    auto other = bytes;
-    other[0] = 2;
-    EXPECT_EQ(peer::parse_header(other.substr(0, 8)).error, peer::HeaderError::version);
-    other = bytes;
-    other[4] = '\x7f';
-    EXPECT_EQ(peer::parse_header(other.substr(0, 8)).error, peer::HeaderError::malformed);
+    auto malformed = bytes;
+    malformed[0] = 2;
+    EXPECT_EQ(peer::parse_header(malformed.substr(0, 8)).error, peer::HeaderError::version);
+    malformed = bytes;
+    malformed[4] = '\x7f';
+    EXPECT_EQ(peer::parse_header(malformed.substr(0, 8)).error, peer::HeaderError::malformed);
     const auto payload = bytes.substr(peer::header_size);
-    for (std::size_t cut = 0; cut < payload.size(); ++cut)
-        EXPECT_FALSE(peer::parse_request(2, payload.substr(0, cut)));
+    for (std::size_t size = 0; size < payload.size(); ++size)
+        EXPECT_FALSE(peer::parse_request(2, payload.substr(0, size)));
     EXPECT_FALSE(peer::parse_request(2, payload + "y"));
     EXPECT_FALSE(peer::parse_request(9, payload));
 }
 
-TEST(Peer, ASnapshotIsPackedAndUnpacked) {
+TEST(Peer, CancellationSnapshotRoundTrip) {
     const peer::CancellationSnapshot snapshot{std::chrono::milliseconds(1500),
                                               std::chrono::milliseconds(70'000),
                                               true,
                                               {"job-1", "job-22"}};
-    const auto back = peer::parse_cancellation_snapshot(peer::pack(snapshot));
-    ASSERT_TRUE(back);
-    EXPECT_EQ(back->age, snapshot.age);
-    EXPECT_EQ(back->memory, snapshot.memory);
-    EXPECT_TRUE(back->complete);
-    EXPECT_EQ(back->cancelled, snapshot.cancelled);
+    const auto parsed = peer::parse_cancellation_snapshot(peer::pack(snapshot));
+    ASSERT_TRUE(parsed);
+    EXPECT_EQ(parsed->age, snapshot.age);
+    EXPECT_EQ(parsed->memory, snapshot.memory);
+    EXPECT_TRUE(parsed->complete);
+    EXPECT_EQ(parsed->cancelled, snapshot.cancelled);
 }
 
-// One that leaves jobs out must not count as complete: what it leaves out would be kept alive.
-TEST(Peer, ASnapshotThatDoesNotFitIsNotComplete) {
+// A snapshot that omits jobs must not be marked as complete: the receiver would keep the tasks of
+// the omitted jobs alive, although they were cancelled.
+TEST(Peer, OversizedSnapshotIsNotComplete) {
     peer::CancellationSnapshot snapshot;
     snapshot.complete = true;
     for (int i = 0; i < 3000; ++i) snapshot.cancelled.emplace_back(94, 'x');
     const auto body = peer::pack(snapshot);
     EXPECT_LE(peer::pack(peer::Answer{200, 0, 1, body}).size(),
-              peer::most_payload + peer::header_size);
-    const auto back = peer::parse_cancellation_snapshot(body);
-    ASSERT_TRUE(back);
-    EXPECT_FALSE(back->complete);
-    EXPECT_GT(back->cancelled.size(), 1000U);
+              peer::max_payload_bytes + peer::header_size);
+    const auto parsed = peer::parse_cancellation_snapshot(body);
+    ASSERT_TRUE(parsed);
+    EXPECT_FALSE(parsed->complete);
+    EXPECT_GT(parsed->cancelled.size(), 1000U);
 }
 
-TEST(Peer, AMalformedSnapshotIsNone) {
-    const auto good = peer::pack(peer::CancellationSnapshot{
+TEST(Peer, MalformedSnapshotsAreRejected) {
+    const auto valid = peer::pack(peer::CancellationSnapshot{
         std::chrono::milliseconds(1), std::chrono::milliseconds(2), true, {"job-1"}});
-    ASSERT_TRUE(peer::parse_cancellation_snapshot(good));
-    for (std::size_t n = 0; n < good.size(); ++n)
-        EXPECT_FALSE(peer::parse_cancellation_snapshot(good.substr(0, n))) << n << " bytes";
-    EXPECT_FALSE(peer::parse_cancellation_snapshot(good + "x"));
-    auto number = good;
-    number[9] = '\xff';  // four thousand million jobs
-    EXPECT_FALSE(peer::parse_cancellation_snapshot(number));
-    auto flag = good;
-    flag[8] = 2;
-    EXPECT_FALSE(peer::parse_cancellation_snapshot(flag));
+    ASSERT_TRUE(peer::parse_cancellation_snapshot(valid));
+    for (std::size_t n = 0; n < valid.size(); ++n)
+        EXPECT_FALSE(peer::parse_cancellation_snapshot(valid.substr(0, n))) << n << " bytes";
+    EXPECT_FALSE(peer::parse_cancellation_snapshot(valid + "x"));
+    auto invalid_count = valid;
+    invalid_count[9] = '\xff';  // more than 4 billion jobs
+    EXPECT_FALSE(peer::parse_cancellation_snapshot(invalid_count));
+    auto invalid_flag = valid;
+    invalid_flag[8] = 2;
+    EXPECT_FALSE(peer::parse_cancellation_snapshot(invalid_flag));
 }
 
 }  // namespace
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -1,5 +1,5 @@
-// The bytes of every message and stored record, compared with files that never change: programs
-// of other versions, users and workers read and write the same bytes.
+// The encoding of every message and stored record, compared with golden files that must not change:
+// other versions of the program, users and agents read and write the same bytes.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -71,7 +71,7 @@
     return s;
 }
 
-core::Heartbeat full_report() {
+core::Heartbeat full_heartbeat() {
     using core::ExitCause;
     using core::TaskState;
     core::Heartbeat r{"n-000231", "10.1.0.232:9000", "g8", "a", true, 7, 88,
@@ -87,7 +87,7 @@
     return r;
 }
 
-std::vector<core::TaskCommand> all_orders() {
+std::vector<core::TaskCommand> all_commands() {
     return {{core::TaskCommand::Verb::start, "job-1", 0, 4, core::Seconds(0)},
             {core::TaskCommand::Verb::stop, "job-1", 1, 5, core::Seconds(2.5)},
             {core::TaskCommand::Verb::acknowledge, "job-1", 2, 6, core::Seconds(0)}};
@@ -103,7 +103,7 @@
     return record;
 }
 
-// One range more than are written as ranges.
+// A record with 1501 ranges, one more than are stored as ranges, so that it is stored as a bitmap.
 core::JobRecord bitmap_record() {
     auto record = full_record();
     record.spec.tasks = 3003;
@@ -161,17 +161,17 @@
     expect_golden("redirect_unknown", redirect_body(""));
 }
 
-TEST(Golden, ReportAndOrders) {
-    expect_golden("report", heartbeat_body(full_report()));
+TEST(Golden, HeartbeatAndCommands) {
+    expect_golden("report", heartbeat_body(full_heartbeat()));
     const auto r = parse_heartbeat(golden("report"));
     ASSERT_TRUE(r);
-    const auto e = full_report();
+    const auto e = full_heartbeat();
     EXPECT_EQ(std::tie(r->machine, r->address, r->type, r->zone, r->spot, r->agent_epoch,
                        r->sequence, r->fencing_token, r->notice, r->tasks),
               std::tie(e.machine, e.address, e.type, e.zone, e.spot, e.agent_epoch, e.sequence,
                        e.fencing_token, e.notice, e.tasks));
-    expect_golden("orders", commands_body(41, all_orders()));
-    expect_golden("direct", direct_commands_body({"n-1", "10.1.0.1:9000", 41, 7, all_orders()}));
+    expect_golden("orders", commands_body(41, all_commands()));
+    expect_golden("direct", direct_commands_body({"n-1", "10.1.0.1:9000", 41, 7, all_commands()}));
 }
 
 TEST(Golden, CloudCalls) {
@@ -208,7 +208,7 @@
     EXPECT_EQ(list->machines[2].stage, MachineStage::failed);
 }
 
-TEST(Golden, StateServiceAnswers) {
+TEST(Golden, KeyValueStoreResponses) {
     const auto entry = parse_entry(golden("entry"));
     ASSERT_TRUE(entry);
     EXPECT_EQ(std::tuple(entry->key, entry->value.dump(), entry->mod_revision, entry->lease),
@@ -233,7 +233,7 @@
     EXPECT_EQ(parse_lease(golden("lease_answer")), 7U);
 }
 
-TEST(Golden, StateServiceCalls) {
+TEST(Golden, KeyValueStoreRequests) {
     expect_golden("txn", compare_and_swap_body({{"view", 3}, {"job/job-1", 0}},
                                                {{"job/job-1", Value{{"x", 1}}, 7},
                                                 {"over/job-2", Value{{"x", 1}}, std::nullopt},
@@ -242,11 +242,11 @@
 }
 
 TEST(Golden, JobRecord) {
-    auto nowhere = full_record();
-    nowhere.home.clear();
+    auto without_home = full_record();
+    without_home.home.clear();
     for (const auto& [name, e] : {std::pair("record_job_ranges", full_record()),
                                   std::pair("record_job_bitmap", bitmap_record()),
-                                  std::pair("record_job_no_home", nowhere)}) {
+                                  std::pair("record_job_no_home", without_home)}) {
         expect_golden(name, to_cbor(job_record(e)));
         const auto r = parse_job_record(*parse_cbor(golden(name)));
         ASSERT_TRUE(r) << name;
@@ -256,7 +256,7 @@
     }
 }
 
-TEST(Golden, FinalMachineAndLeadershipRecords) {
+TEST(Golden, TerminalMachineAndLeadershipRecords) {
     auto record = full_record();
     record.terminal_state = core::TerminalState::done;
     expect_golden("record_final_done", to_cbor(terminal_record(record)));
@@ -277,13 +277,13 @@
     EXPECT_EQ(m->stage, core::MachineStage::running);
 
     expect_golden("record_view", to_cbor(leadership_record({5, "c1", 2})));
-    for (const auto& [name, returns] :
+    for (const auto& [name, consecutive_restarts] :
          {std::pair("record_view", 2U), std::pair("record_view_without_returns", 0U)}) {
         const auto v = parse_leadership_record(*parse_cbor(golden(name)));
         ASSERT_TRUE(v) << name;
         EXPECT_EQ(v->term, 5U);
         EXPECT_EQ(v->leader, "c1");
-        EXPECT_EQ(v->consecutive_restarts, returns);
+        EXPECT_EQ(v->consecutive_restarts, consecutive_restarts);
     }
 }
 
@@ -308,7 +308,7 @@
     }
 }
 
-TEST(Golden, PeerAnswerAndWord) {
+TEST(Golden, PeerAnswerAndCancellationSnapshot) {
     expect_golden("peer_answer", peer::pack(peer::Answer{421, 3, 9, "body"}));
     const auto a = peer::parse_answer(0x80, golden("peer_answer").substr(peer::header_size));
     ASSERT_TRUE(a);
