--- a/src/config/connection_limits.hpp
+++ b/src/config/connection_limits.hpp
@@ -1,4 +1,5 @@
-/// How many connections of users and agents the sockets, the memory and the operators permit.
+/// Limits on the connections of users and agents, derived from the available sockets and memory and
+/// from the operator settings.
 #pragma once
 
 #include <cstddef>
@@ -8,9 +9,12 @@
 
 namespace bendspindle::config {
 
-/// Connections served at once, a thread each; at least 1.
-[[nodiscard]] std::size_t max_connections(const Settings& settings, const OperatorSettings& own);
-/// How many more may wait for one of `served` to end.
+/// Returns the maximum number of connections served concurrently, each by its own thread; at least
+/// 1.
+[[nodiscard]] std::size_t max_connections(const Settings& settings,
+                                          const OperatorSettings& operator_settings);
+/// Returns the maximum number of accepted connections that may wait while `served` connections are
+/// being served; at least 16.
 [[nodiscard]] std::size_t max_waiting_connections(const Settings& settings, std::size_t served);
 
 }  // namespace bendspindle::config
--- a/src/config/core_config.hpp
+++ b/src/config/core_config.hpp
@@ -1,4 +1,4 @@
-/// What the core gets of both files of settings.
+/// Conversion of the platform settings and the operator settings to the configuration of the core.
 #pragma once
 
 #include "config/operator_settings.hpp"
@@ -7,7 +7,9 @@
 
 namespace bendspindle::config {
 
-/// The deployment's teams, zones, timings and objectives, with the operators' choices.
-[[nodiscard]] core::Config core_config(const Settings& settings, const OperatorSettings& own);
+/// Returns the configuration of the core: teams, zones, timings and objectives of the deployment,
+/// and the operator settings.
+[[nodiscard]] core::Config core_config(const Settings& settings,
+                                       const OperatorSettings& operator_settings);
 
 }  // namespace bendspindle::config
--- a/src/config/fair_share_settings.cpp
+++ b/src/config/fair_share_settings.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// One entry of three words: (class NAME WEIGHT) or (team NAME WEIGHT).
+// Reads the weight from an entry of three words: (class NAME WEIGHT) or (team NAME WEIGHT).
 template <typename Weights>
 void read_weight(const std::string& file, const Entry& entry, Weights& weights) {
     const auto field = entry[0] + " " + entry[1];
@@ -30,9 +30,9 @@
                                                        const Settings& settings) {
     fair_share::FairShareSettings shares;
     if (file.empty()) {
-        // On a site of few machines a minimum share is less than one gang's size, and claims it
-        // whole: urgent gangs lost their machines to work that was served anyway
-        // (docs/fair-share.md).
+        // In a deployment with few machines, a minimum share is smaller than one gang but still
+        // claims the capacity of a whole gang: urgent gangs lost their machines to work that would
+        // have been served anyway (docs/fair-share.md).
         shares.total_share = 0;
         return shares;
     }
--- a/src/config/fair_share_settings.hpp
+++ b/src/config/fair_share_settings.hpp
@@ -1,5 +1,5 @@
-/// The minimum shares under overload: the operators' admission.sexp (deploy/admission.sexp explains
-/// each entry). Read once by `main`.
+/// Settings of the minimum shares under overload, read from the operators' admission.sexp
+/// (deploy/admission.sexp documents each entry). `main` reads them once.
 #pragma once
 
 #include <string>
@@ -9,8 +9,8 @@
 
 namespace bendspindle::config {
 
-/// Minimum shares and weights; without a file (its name is empty) there are no minimum shares. A
-/// team must be one of the platform's settings. Throws `SettingsError`.
+/// Reads the minimum shares and weights. An empty file name disables the minimum shares. Throws
+/// `SettingsError` if the file is invalid or names a team that the platform settings do not have.
 fair_share::FairShareSettings load_fair_share_settings(const std::string& file,
                                                        const Settings& settings);
 
--- a/src/config/field_reader.cpp
+++ b/src/config/field_reader.cpp
@@ -51,8 +51,8 @@
     return number;
 }
 
-double FieldReader::number_or(const char* name, double absent) const {
-    return map_->contains(name) ? number(name) : absent;
+double FieldReader::number_or(const char* name, double default_value) const {
+    return map_->contains(name) ? number(name) : default_value;
 }
 
 double FieldReader::positive(const char* name) const {
--- a/src/config/field_reader.hpp
+++ b/src/config/field_reader.hpp
@@ -1,6 +1,6 @@
-/// Typed reading of a JSON document's fields, for the platform's settings. Each reader checks that
-/// the field is there, has its type and is within bounds, and throws `SettingsError` with the file
-/// and the field's path otherwise.
+/// Typed access to the fields of a JSON document, for the platform settings. Each accessor checks
+/// that the field exists, has the expected type and is within bounds, and otherwise throws
+/// `SettingsError` with the file and the path of the field.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -12,24 +12,26 @@
 
 namespace bendspindle::config {
 
-/// The fields of one JSON map, which must outlive the reader.
+/// Reads the fields of one JSON map, which must outlive the reader.
 class FieldReader {
   public:
-    /// `path` is the map's place in the file; empty: the document itself.
+    /// `path` is the path of the map in the file; empty for the document itself.
     FieldReader(std::string file, std::string path, const nlohmann::json& map);
     FieldReader(std::string file, std::string path, nlohmann::json&& map) = delete;
 
-    /// The map in the field.
+    /// Returns a reader of the map in the field.
     [[nodiscard]] FieldReader map(const char* name) const;
-    /// The maps of the list in the field.
+    /// Returns a reader of each map in the list of the field.
     [[nodiscard]] std::vector<FieldReader> maps(const char* name) const;
-    /// Text that is not empty.
+    /// Returns the non-empty text of the field.
     [[nodiscard]] std::string text(const char* name) const;
+    /// Returns the texts in the list of the field.
     [[nodiscard]] std::vector<std::string> texts(const char* name) const;
-    /// A finite number from 0.
+    /// Returns the field as a finite number that is at least 0.
     [[nodiscard]] double number(const char* name) const;
-    [[nodiscard]] double number_or(const char* name, double absent) const;
-    /// A finite number above 0.
+    /// Returns `default_value` if the field does not exist.
+    [[nodiscard]] double number_or(const char* name, double default_value) const;
+    /// Returns the field as a finite number above 0.
     [[nodiscard]] double positive(const char* name) const;
     [[nodiscard]] core::Seconds seconds(const char* name) const;
     [[nodiscard]] io::Endpoint endpoint(const char* name) const;
--- a/src/config/operator_settings.cpp
+++ b/src/config/operator_settings.cpp
@@ -9,8 +9,8 @@
 namespace bendspindle::config {
 
 OperatorSettings load_operator_settings(const std::string& file) {
-    OperatorSettings own;
-    if (file.empty()) return own;
+    OperatorSettings operator_settings;
+    if (file.empty()) return operator_settings;
     const auto number_into = [&file](double& field) {
         return [&file, &field](const std::string& name, const std::string& value) {
             field = positive(file, name, value);
@@ -29,19 +29,19 @@
     const auto read_log_level = [&](const std::string& name, const std::string& value) {
         if (value != "error" && value != "info" && value != "debug")
             throw SettingsError(file, name, "must be error, info or debug");
-        own.log_level = value;
+        operator_settings.log_level = value;
     };
     const std::map<std::string, std::function<void(const std::string&, const std::string&)>> known{
         {"log-level", read_log_level},
-        {"cycle-s", seconds_into(own.cycle)},
-        {"lease-s", seconds_into(own.lease)},
-        {"idle-return-s", seconds_into(own.idle_return)},
-        {"least-paid-s", seconds_into(own.least_paid)},
-        {"demand-memory-s", seconds_into(own.demand_memory)},
-        {"headroom", number_into(own.headroom)},
-        {"threads", size_into(own.threads)},
-        {"stack-kb", size_into(own.stack_kb)},
-        {"finals-cached", size_into(own.terminal_states_cached)}};
+        {"cycle-s", seconds_into(operator_settings.cycle)},
+        {"lease-s", seconds_into(operator_settings.leader_lease)},
+        {"idle-return-s", seconds_into(operator_settings.idle_return)},
+        {"least-paid-s", seconds_into(operator_settings.least_paid)},
+        {"demand-memory-s", seconds_into(operator_settings.demand_memory)},
+        {"headroom", number_into(operator_settings.headroom)},
+        {"threads", size_into(operator_settings.max_connection_threads)},
+        {"stack-kb", size_into(operator_settings.stack_kb)},
+        {"finals-cached", size_into(operator_settings.max_cached_terminal_states)}};
 
     for_each_entry(file, "(NAME VALUE)", [&](const Entry& entry) {
         if (entry.size() != 2) return false;
@@ -51,7 +51,7 @@
         it->second(name, entry[1]);
         return true;
     });
-    return own;
+    return operator_settings;
 }
 
 }  // namespace bendspindle::config
--- a/src/config/operator_settings.hpp
+++ b/src/config/operator_settings.hpp
@@ -1,5 +1,5 @@
-/// What operators may set beyond the platform's file; deploy/operator.sexp explains each. Read once
-/// by `main` and constant from then on.
+/// The operator settings, which supplement the platform settings; deploy/operator.sexp documents
+/// each of them. `main` reads them once; they do not change afterwards.
 #pragma once
 
 #include <cstddef>
@@ -10,24 +10,25 @@
 
 namespace bendspindle::config {
 
-/// The defaults are those of the shipped file (tests/settings_test.cpp).
+/// The operator settings. The defaults equal the values in deploy/operator.sexp
+/// (tests/settings_test.cpp checks this).
 struct OperatorSettings {
-    std::string log_level;  ///< empty: LOG_LEVEL, else info
+    std::string log_level;  ///< overridden by LOG_LEVEL; info if both are empty
     core::Seconds cycle{2};
-    core::Seconds lease{4};
+    core::Seconds leader_lease{4};
     core::Seconds idle_return{15};
     core::Seconds least_paid{60};
     core::Seconds demand_memory{60};
     double headroom = 1.0;
-    std::size_t threads = 160;  ///< for connections
+    std::size_t max_connection_threads = 160;  ///< each serves one connection
     std::size_t stack_kb = 256;
-    std::size_t terminal_states_cached = 4096;
+    std::size_t max_cached_terminal_states = 4096;
     fair_share::FairShareSettings
-        fair_share_settings;  ///< from a file of its own: deploy/admission.sexp
+        fair_share_settings;  ///< read from a separate file, see deploy/admission.sexp
 };
 
-/// Without a file (its name is empty) the defaults. Throws `SettingsError`, also for a name that
-/// is not known.
+/// Reads the operator settings; returns the defaults for an empty file name. Throws `SettingsError`
+/// if the file is invalid or contains an unknown name.
 OperatorSettings load_operator_settings(const std::string& file);
 
 }  // namespace bendspindle::config
--- a/src/config/platform_settings.cpp
+++ b/src/config/platform_settings.cpp
@@ -23,7 +23,7 @@
 core::ServiceLevelObjectives read_objectives(const FieldReader& deployment) {
     core::ServiceLevelObjectives objectives;
     for (const auto& objective : deployment.maps("objectives")) {
-        // A kind that is not known is passed over: the platform may bring new ones.
+        // Unknown kinds are ignored: later platform versions may add some.
         const auto kind = objective.text("kind");
         if (kind == "wait")
             objectives.start_within[objective.text("class")] = objective.seconds("within_s");
@@ -49,13 +49,13 @@
     if (settings.zones.empty()) deployment.reject("zones", "is empty");
     for (const auto& team : deployment.maps("teams")) settings.teams.push_back(read_team(team));
     settings.objectives = read_objectives(deployment);
-    settings.workers = read_agent_timings(deployment.map("workers"));
+    settings.agent_timings = read_agent_timings(deployment.map("workers"));
     settings.state_limits = read_state_limits(deployment.map("state"));
     const auto cloud = deployment.map("cloud");
     settings.cloud_requests_per_s = cloud.positive("rps");
     settings.list_lag = core::Seconds(cloud.number("list_lag_s"));
     const auto resources = deployment.map("resources");
-    settings.most_sockets = static_cast<std::size_t>(resources.positive("max_sockets"));
+    settings.max_sockets = static_cast<std::size_t>(resources.positive("max_sockets"));
     settings.memory_mb = resources.positive("mem_mb");
 }
 
--- a/src/config/s_expression.cpp
+++ b/src/config/s_expression.cpp
@@ -19,7 +19,8 @@
 };
 using Expression = std::unique_ptr<sexp_t, DestroyExpression>;
 
-// The library takes the first expression of a text and knows no comments.
+// Removes comments, which the library does not support. It parses only the first expression of the
+// text.
 std::string without_comments(const std::string& text) {
     std::istringstream lines(text);
     std::string stripped;
@@ -40,14 +41,15 @@
 
 }  // namespace
 
-void for_each_entry(const std::string& file, const std::string& shape,
+void for_each_entry(const std::string& file, const std::string& expected_form,
                     const std::function<bool(const Entry&)>& accept) {
     auto text = without_comments(read_text_file(file));
     const Expression root(parse_sexp(text.data(), text.size()));
     if (!root || root->ty != SEXP_LIST) throw SettingsError(file, "is not an S-expression list");
     for (const sexp_t* expression = root->list; expression; expression = expression->next) {
         const auto entry = read_entry(*expression);
-        if (!entry || !accept(*entry)) throw SettingsError(file, "an entry is not " + shape);
+        if (!entry || !accept(*entry))
+            throw SettingsError(file, "an entry is not " + expected_form);
     }
 }
 
--- a/src/config/s_expression.hpp
+++ b/src/config/s_expression.hpp
@@ -1,5 +1,5 @@
-/// The operators' files: one S-expression, a list of entries, each a list of words. Read here for
-/// operator.sexp and admission.sexp alike.
+/// Reader of the operators' files, operator.sexp and admission.sexp: one S-expression, which is a
+/// list of entries; each entry is a list of words.
 #pragma once
 
 #include <functional>
@@ -10,15 +10,17 @@
 
 using Entry = std::vector<std::string>;
 
-/// Calls `accept` with each entry of the file, in order. `shape` says in the error line what an
-/// entry looks like: it is thrown as `SettingsError` where `accept` returns false or the file has
-/// another form.
-void for_each_entry(const std::string& file, const std::string& shape,
+/// Calls `accept` for each entry of the file, in order. Throws `SettingsError` if `accept` returns
+/// false or the file is not a list of entries; `expected_form` describes a valid entry in the error
+/// message.
+void for_each_entry(const std::string& file, const std::string& expected_form,
                     const std::function<bool(const Entry&)>& accept);
 
-/// The value of the field as a finite number from 0, or above 0; throws `SettingsError` otherwise.
+/// Parses the value of the field as a finite number that is at least 0; throws `SettingsError` if
+/// it is not.
 [[nodiscard]] double non_negative(const std::string& file, const std::string& field,
                                   const std::string& value);
+/// Parses the value of the field as a finite number above 0; throws `SettingsError` if it is not.
 [[nodiscard]] double positive(const std::string& file, const std::string& field,
                               const std::string& value);
 
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -1,5 +1,5 @@
-/// All settings of a controller and their error: for the wiring in `daemon`. Other directories
-/// include the one header that they need.
+/// Includes all settings headers, for `daemon`. Other directories include only the header that they
+/// need.
 #pragma once
 
 #include "config/connection_limits.hpp"
--- a/src/config/settings_error.cpp
+++ b/src/config/settings_error.cpp
@@ -4,8 +4,8 @@
 
 namespace bendspindle::config {
 
-// The text of a settings error is put together here and nowhere else; every line of it is pinned
-// by tests/settings_golden_test.cpp.
+// The messages of settings errors are composed only here; tests/settings_golden_test.cpp checks
+// each of them.
 SettingsError::SettingsError(std::string file, std::string reason)
     : std::runtime_error(file + ": " + reason),
       file_(std::move(file)),
--- a/src/config/settings_error.hpp
+++ b/src/config/settings_error.hpp
@@ -1,5 +1,5 @@
-/// The one exception of settings that cannot be used. The readers of this directory and the command
-/// line throw it; `main` alone catches it and prints `what()` as the line that operators see.
+/// The exception for invalid settings. The readers of this directory and the command line throw it;
+/// only `main` catches it and prints `what()` for the operators.
 #pragma once
 
 #include <optional>
@@ -8,17 +8,17 @@
 
 namespace bendspindle::config {
 
-/// `what()` is one line: the file, the field if there is one, and the reason.
+/// Invalid settings. `what()` is one line with the file, the field if there is one, and the reason.
 class SettingsError : public std::runtime_error {
   public:
-    /// The file, or the option of the command line, as a whole is wrong.
+    /// Reports a whole file, or a command-line option, as invalid.
     SettingsError(std::string file, std::string reason);
-    /// One field is: its path in the file, as in `deployment.teams[0].name`; empty is the document
-    /// itself.
+    /// Reports one field as invalid. `field` is its path in the file, such as
+    /// `deployment.teams[0].name`, or empty for the document itself.
     SettingsError(std::string file, std::string field, std::string reason);
 
     [[nodiscard]] const std::string& file() const { return file_; }
-    /// nullopt where no single field is to blame.
+    /// Returns nullopt if the error does not concern a single field.
     [[nodiscard]] const std::optional<std::string>& field() const { return field_; }
     [[nodiscard]] const std::string& reason() const { return reason_; }
 
--- a/tests/settings_golden_test.cpp
+++ b/tests/settings_golden_test.cpp
@@ -1,5 +1,5 @@
-// The exact line for every mistake in a settings file, and every name that operators may set:
-// operators read these lines and keep these files.
+// The exact error message for every error in a settings file, and the name of every operator
+// setting. Operators rely on the messages and keep their files across versions.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -22,7 +22,7 @@
         file_ = (std::filesystem::temp_directory_path() /
                  ("bendspindle-settings-golden-" + std::to_string(::getpid())))
                     .string();
-        good_ = json::parse(R"({
+        valid_ = json::parse(R"({
             "node_name": "c0", "domain": "a", "listen": "127.0.0.1:8080",
             "internal_addr": "127.0.0.1:8081",
             "siblings": [{"node_name": "c1", "domain": "b", "endpoint": "127.0.0.2:8082"}],
@@ -44,9 +44,9 @@
         std::ofstream(file_) << text;
         return file_;
     }
-    // The line without the file's name, which every line begins with.
+    // Returns the error message of `load` without the file name that it starts with, or "accepted".
     template <typename Load>
-    std::string line_of(const std::string& text, Load&& load) {
+    std::string error_of(const std::string& text, Load&& load) {
         write(text);
         try {
             load();
@@ -57,24 +57,24 @@
         }
         return "accepted";
     }
-    std::string platform_line(const std::string& text) {
-        return line_of(text, [&] { load_settings(file_); });
+    std::string platform_error(const std::string& text) {
+        return error_of(text, [&] { load_settings(file_); });
     }
-    std::string operator_line(const std::string& text) {
-        return line_of(text, [&] { load_operator_settings(file_); });
+    std::string operator_error(const std::string& text) {
+        return error_of(text, [&] { load_operator_settings(file_); });
     }
-    std::string admission_line(const std::string& text) {
+    std::string admission_error(const std::string& text) {
         Settings settings;
         settings.teams.push_back({"red", {}, {}});
-        return line_of(text, [&] { load_fair_share_settings(file_, settings); });
+        return error_of(text, [&] { load_fair_share_settings(file_, settings); });
     }
 
     std::string file_;
-    json good_;
+    json valid_;
 };
 
 TEST_F(SettingsGolden, EachFieldIsRead) {
-    const auto s = load_settings(write(good_.dump()));
+    const auto s = load_settings(write(valid_.dump()));
     EXPECT_EQ(s.name + " " + s.zone, "c0 a");
     EXPECT_EQ(s.listen.host, "127.0.0.1");
     EXPECT_EQ(std::tuple(s.listen.port, s.internal.port, s.cloud.port, s.state.port),
@@ -90,18 +90,18 @@
               std::tuple("t", 3, 4, 6, 8));
     EXPECT_EQ(s.objectives.start_within.at("c").count(), 12);
     EXPECT_EQ(s.objectives.guaranteed_start->count(), 13);
-    EXPECT_EQ(std::tuple(s.workers.heartbeat.count(), s.workers.lease.count(),
-                         s.workers.gang_wait.count(), s.workers.gang_peer.count(),
-                         s.workers.cancel.count()),
+    EXPECT_EQ(std::tuple(s.agent_timings.heartbeat.count(), s.agent_timings.lease.count(),
+                         s.agent_timings.gang_wait.count(), s.agent_timings.gang_peer.count(),
+                         s.agent_timings.cancel.count()),
               std::tuple(3, 19, 50, 4, 39));
     EXPECT_EQ(std::tuple(s.state_limits.requests_per_s, s.state_limits.writes_per_s,
                          s.state_limits.value_kb, s.state_limits.txn_ops),
               std::tuple(150, 60, 31U, 48U));
-    EXPECT_EQ(std::tuple(s.cloud_requests_per_s, s.list_lag.count(), s.memory_mb, s.most_sockets),
+    EXPECT_EQ(std::tuple(s.cloud_requests_per_s, s.list_lag.count(), s.memory_mb, s.max_sockets),
               std::tuple(2, 3, 101, 500U));
 }
 
-TEST_F(SettingsGolden, EachRequiredFieldMissing) {
+TEST_F(SettingsGolden, EachMissingField) {
     for (const auto* field : {"/node_name",
                               "/domain",
                               "/listen",
@@ -131,22 +131,23 @@
                               "/deployment/resources",
                               "/deployment/resources/max_sockets",
                               "/deployment/resources/mem_mb"}) {
-        auto wrong = good_;
+        auto invalid = valid_;
         const json::json_pointer at(field);
-        wrong[at.parent_pointer()].erase(at.back());
+        invalid[at.parent_pointer()].erase(at.back());
         std::string dotted(field + 1);
         std::replace(dotted.begin(), dotted.end(), '/', '.');
-        EXPECT_EQ(platform_line(wrong.dump()), dotted + " is missing");
+        EXPECT_EQ(platform_error(invalid.dump()), dotted + " is missing");
     }
     for (const auto* field : {"node_name", "domain", "endpoint"}) {
-        auto wrong = good_;
-        wrong["siblings"][0].erase(field);
-        EXPECT_EQ(platform_line(wrong.dump()), std::string("siblings[0].") + field + " is missing");
+        auto invalid = valid_;
+        invalid["siblings"][0].erase(field);
+        EXPECT_EQ(platform_error(invalid.dump()),
+                  std::string("siblings[0].") + field + " is missing");
     }
 }
 
-TEST_F(SettingsGolden, EachMistakeInThePlatformFile) {
-    const std::vector<std::tuple<const char*, json, const char*>> wrongs{
+TEST_F(SettingsGolden, EachErrorInThePlatformFile) {
+    const std::vector<std::tuple<const char*, json, const char*>> cases{
         {"/node_name", 7, "node_name is not text"},
         {"/node_name", "", "node_name is not text"},
         {"/listen", "nowhere", "listen is not HOST:PORT"},
@@ -164,13 +165,13 @@
         {"/deployment/workers/lease_s", 0, "deployment.workers.lease_s must be more than 0"},
         {"/deployment/workers/lease_s", -1, "deployment.workers.lease_s is out of range"},
         {"/deployment/cloud/list_lag_s", -1, "deployment.cloud.list_lag_s is out of range"}};
-    for (const auto& [field, value, line] : wrongs) {
-        auto wrong = good_;
-        wrong[json::json_pointer(field)] = value;
-        EXPECT_EQ(platform_line(wrong.dump()), line);
+    for (const auto& [field, value, line] : cases) {
+        auto invalid = valid_;
+        invalid[json::json_pointer(field)] = value;
+        EXPECT_EQ(platform_error(invalid.dump()), line);
     }
-    EXPECT_EQ(platform_line("{"), "is not JSON");
-    EXPECT_EQ(platform_line("[]"), " is not a map");
+    EXPECT_EQ(platform_error("{"), "is not JSON");
+    EXPECT_EQ(platform_error("[]"), " is not a map");
     std::filesystem::remove(file_);
     try {
         load_settings(file_);
@@ -180,34 +181,37 @@
     }
 }
 
-TEST_F(SettingsGolden, EachNameInTheOperatorsFile) {
-    const auto own = load_operator_settings(
+TEST_F(SettingsGolden, EachNameInTheOperatorFile) {
+    const auto operator_settings = load_operator_settings(
         write("((log-level error) (cycle-s 1.5) (lease-s 3) (idle-return-s 16) (least-paid-s 61)"
               " (demand-memory-s 62) (headroom 2.5) (threads 161) (stack-kb 257)"
               " (finals-cached 4097))"));
-    EXPECT_EQ(own.log_level, "error");
-    EXPECT_EQ(std::tuple(own.cycle.count(), own.lease.count(), own.idle_return.count(),
-                         own.least_paid.count(), own.demand_memory.count(), own.headroom),
-              std::tuple(1.5, 3, 16, 61, 62, 2.5));
-    EXPECT_EQ(std::tuple(own.threads, own.stack_kb, own.terminal_states_cached),
+    EXPECT_EQ(operator_settings.log_level, "error");
+    EXPECT_EQ(
+        std::tuple(operator_settings.cycle.count(), operator_settings.leader_lease.count(),
+                   operator_settings.idle_return.count(), operator_settings.least_paid.count(),
+                   operator_settings.demand_memory.count(), operator_settings.headroom),
+        std::tuple(1.5, 3, 16, 61, 62, 2.5));
+    EXPECT_EQ(std::tuple(operator_settings.max_connection_threads, operator_settings.stack_kb,
+                         operator_settings.max_cached_terminal_states),
               std::tuple(161U, 257U, 4097U));
     for (const std::string name :
          {"cycle-s", "lease-s", "idle-return-s", "least-paid-s", "demand-memory-s", "headroom",
           "threads", "stack-kb", "finals-cached"}) {
         const auto entry = "((" + name + " ";
-        EXPECT_EQ(operator_line(entry + "soon))"), name + " must be a number from 0");
-        EXPECT_EQ(operator_line(entry + "-1))"), name + " must be a number from 0");
-        EXPECT_EQ(operator_line(entry + "0))"), name + " must be a number above 0");
+        EXPECT_EQ(operator_error(entry + "soon))"), name + " must be a number from 0");
+        EXPECT_EQ(operator_error(entry + "-1))"), name + " must be a number from 0");
+        EXPECT_EQ(operator_error(entry + "0))"), name + " must be a number above 0");
     }
-    EXPECT_EQ(operator_line("((log-level loud))"), "log-level must be error, info or debug");
-    EXPECT_EQ(operator_line("((cycles 2))"), "cycles is not a known setting");
-    EXPECT_EQ(operator_line("((cycle-s 2 3))"), "an entry is not (NAME VALUE)");
-    EXPECT_EQ(operator_line("(cycle-s 1)"), "an entry is not (NAME VALUE)");
-    EXPECT_EQ(operator_line("cycle-s"), "is not an S-expression list");
+    EXPECT_EQ(operator_error("((log-level loud))"), "log-level must be error, info or debug");
+    EXPECT_EQ(operator_error("((cycles 2))"), "cycles is not a known setting");
+    EXPECT_EQ(operator_error("((cycle-s 2 3))"), "an entry is not (NAME VALUE)");
+    EXPECT_EQ(operator_error("(cycle-s 1)"), "an entry is not (NAME VALUE)");
+    EXPECT_EQ(operator_error("cycle-s"), "is not an S-expression list");
 }
 
-TEST_F(SettingsGolden, EachMistakeInTheAdmissionFile) {
-    const std::string shape =
+TEST_F(SettingsGolden, EachErrorInTheAdmissionFile) {
+    const std::string wrong_form =
         "an entry is not (NAME VALUE), (class NAME WEIGHT) or (team NAME WEIGHT)";
     for (const auto& [text, line] : std::vector<std::pair<std::string, std::string>>{
              {"((floors 1.5))", "floors must be at most 1"},
@@ -220,10 +224,10 @@
              {"((class scan 0))", "class scan must be a number above 0"},
              {"((class scan x))", "class scan must be a number from 0"},
              {"((class scan 1) (class scan 2))", "class scan is given twice"},
-             {"((patience 5))", shape},
-             {"(floors 1)", shape},
+             {"((patience 5))", wrong_form},
+             {"(floors 1)", wrong_form},
              {"floors", "is not an S-expression list"}})
-        EXPECT_EQ(admission_line(text), line) << text;
+        EXPECT_EQ(admission_error(text), line) << text;
 }
 
 }  // namespace
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -16,7 +16,7 @@
         file_ = (std::filesystem::temp_directory_path() /
                  ("bendspindle-settings-" + std::to_string(::getpid())))
                     .string();
-        good_ = nlohmann::json::parse(R"({
+        valid_ = nlohmann::json::parse(R"({
             "node_name": "c0", "domain": "a", "listen": "127.0.0.1:8080",
             "internal_addr": "127.0.0.1:8081", "new_field": 1,
             "siblings": [{"node_name": "c1", "domain": "b", "endpoint": "127.0.0.2:8081"}],
@@ -38,7 +38,7 @@
         std::ofstream(file_) << text;
         return file_;
     }
-    std::string complaint(const nlohmann::json& document) {
+    std::string platform_settings_error(const nlohmann::json& document) {
         try {
             load_settings(write(document.dump()));
         } catch (const SettingsError& e) {
@@ -46,7 +46,7 @@
         }
         return "";
     }
-    std::string own_complaint(const std::string& text) {
+    std::string operator_settings_error(const std::string& text) {
         try {
             load_operator_settings(write(text));
         } catch (const SettingsError& e) {
@@ -56,66 +56,70 @@
     }
 
     std::string file_;
-    nlohmann::json good_;
+    nlohmann::json valid_;
 };
 
-TEST_F(SettingsFile, GoodOnesAreRead) {
-    const auto s = load_settings(write(good_.dump()));
+TEST_F(SettingsFile, ValidSettingsAreRead) {
+    const auto s = load_settings(write(valid_.dump()));
     EXPECT_EQ(s.name, "c0");
     EXPECT_EQ(s.peers.at(0).endpoint.port, 8081);
     EXPECT_DOUBLE_EQ(s.teams.at(0).limit.gpus, 8);
-    EXPECT_DOUBLE_EQ(s.workers.lease.count(), 19);
+    EXPECT_DOUBLE_EQ(s.agent_timings.lease.count(), 19);
     EXPECT_DOUBLE_EQ(s.objectives.start_within.at("c").count(), 12);
 }
 
-TEST_F(SettingsFile, WrongOnesNameFileAndField) {
-    auto wrong = good_;
-    wrong["deployment"]["workers"].erase("lease_s");
-    EXPECT_NE(complaint(wrong).find(file_ + ": deployment.workers.lease_s is missing"),
+TEST_F(SettingsFile, ErrorsNameTheFileAndTheField) {
+    auto invalid = valid_;
+    invalid["deployment"]["workers"].erase("lease_s");
+    EXPECT_NE(
+        platform_settings_error(invalid).find(file_ + ": deployment.workers.lease_s is missing"),
+        std::string::npos);
+    invalid = valid_;
+    invalid["listen"] = "nowhere";
+    EXPECT_NE(platform_settings_error(invalid).find("listen is not HOST:PORT"), std::string::npos);
+    invalid = valid_;
+    invalid["siblings"][0].erase("endpoint");
+    EXPECT_NE(platform_settings_error(invalid).find("siblings[0].endpoint is missing"),
+              std::string::npos);
+    invalid = valid_;
+    invalid["deployment"]["cloud"]["rps"] = "two";
+    EXPECT_NE(platform_settings_error(invalid).find("deployment.cloud.rps is not a number"),
               std::string::npos);
-    wrong = good_;
-    wrong["listen"] = "nowhere";
-    EXPECT_NE(complaint(wrong).find("listen is not HOST:PORT"), std::string::npos);
-    wrong = good_;
-    wrong["siblings"][0].erase("endpoint");
-    EXPECT_NE(complaint(wrong).find("siblings[0].endpoint is missing"), std::string::npos);
-    wrong = good_;
-    wrong["deployment"]["cloud"]["rps"] = "two";
-    EXPECT_NE(complaint(wrong).find("deployment.cloud.rps is not a number"), std::string::npos);
     EXPECT_THROW(load_settings(write("{")), SettingsError);
 }
 
-TEST_F(SettingsFile, OperatorsFile) {
-    const auto own = load_operator_settings(
+TEST_F(SettingsFile, OperatorSettings) {
+    const auto operator_settings = load_operator_settings(
         write("; a comment\n((cycle-s 1.5) ; another\n (headroom 2) (log-level debug))\n"));
-    EXPECT_DOUBLE_EQ(own.cycle.count(), 1.5);
-    EXPECT_EQ(own.log_level, "debug");
-    EXPECT_NE(own_complaint("((cycles 2))").find("cycles is not a known setting"),
+    EXPECT_DOUBLE_EQ(operator_settings.cycle.count(), 1.5);
+    EXPECT_EQ(operator_settings.log_level, "debug");
+    EXPECT_NE(operator_settings_error("((cycles 2))").find("cycles is not a known setting"),
               std::string::npos);
-    EXPECT_NE(own_complaint("((cycle-s soon))").find("cycle-s must be a number"),
+    EXPECT_NE(operator_settings_error("((cycle-s soon))").find("cycle-s must be a number"),
               std::string::npos);
-    EXPECT_FALSE(own_complaint("((cycle-s -1))").empty());
-    EXPECT_FALSE(own_complaint("(cycle-s 1)").empty());
-    EXPECT_FALSE(own_complaint("cycle-s").empty());
+    EXPECT_FALSE(operator_settings_error("((cycle-s -1))").empty());
+    EXPECT_FALSE(operator_settings_error("(cycle-s 1)").empty());
+    EXPECT_FALSE(operator_settings_error("cycle-s").empty());
 }
 
-TEST_F(SettingsFile, TheShippedOperatorsFileHoldsTheDefaults) {
-    const auto own = load_operator_settings(std::string(SOURCE_DIR) + "/deploy/operator.sexp");
+TEST_F(SettingsFile, ShippedOperatorFileContainsTheDefaults) {
+    const auto operator_settings =
+        load_operator_settings(std::string(SOURCE_DIR) + "/deploy/operator.sexp");
     const OperatorSettings defaults;
-    EXPECT_DOUBLE_EQ(own.cycle.count(), defaults.cycle.count());
-    EXPECT_DOUBLE_EQ(own.lease.count(), defaults.lease.count());
-    EXPECT_DOUBLE_EQ(own.idle_return.count(), defaults.idle_return.count());
-    EXPECT_DOUBLE_EQ(own.headroom, defaults.headroom);
-    EXPECT_DOUBLE_EQ(own.demand_memory.count(), defaults.demand_memory.count());
-    EXPECT_EQ(own.threads, defaults.threads);
-    EXPECT_EQ(own.stack_kb, defaults.stack_kb);
-    EXPECT_EQ(own.terminal_states_cached, defaults.terminal_states_cached);
+    EXPECT_DOUBLE_EQ(operator_settings.cycle.count(), defaults.cycle.count());
+    EXPECT_DOUBLE_EQ(operator_settings.leader_lease.count(), defaults.leader_lease.count());
+    EXPECT_DOUBLE_EQ(operator_settings.idle_return.count(), defaults.idle_return.count());
+    EXPECT_DOUBLE_EQ(operator_settings.headroom, defaults.headroom);
+    EXPECT_DOUBLE_EQ(operator_settings.demand_memory.count(), defaults.demand_memory.count());
+    EXPECT_EQ(operator_settings.max_connection_threads, defaults.max_connection_threads);
+    EXPECT_EQ(operator_settings.stack_kb, defaults.stack_kb);
+    EXPECT_EQ(operator_settings.max_cached_terminal_states, defaults.max_cached_terminal_states);
 }
 
-TEST_F(SettingsFile, Admission) {
+TEST_F(SettingsFile, FairShareSettings) {
     Settings settings;
     settings.teams.push_back({"red", {}, {}});
-    const auto complaint_of = [&](const std::string& text) {
+    const auto fair_share_settings_error = [&](const std::string& text) {
         try {
             load_fair_share_settings(write(text), settings);
         } catch (const SettingsError& e) {
@@ -123,13 +127,13 @@
         }
         return std::string();
     };
-    const auto floors = load_fair_share_settings(
+    const auto shares = load_fair_share_settings(
         write("((floors 0.4) (patience-s 20) (class scan 2) (team red 3)) ; all"), settings);
-    EXPECT_DOUBLE_EQ(floors.total_share, 0.4);
-    EXPECT_DOUBLE_EQ(floors.starvation_timeout.count(), 20);
-    EXPECT_DOUBLE_EQ(floors.class_weights.at("scan"), 2);
-    EXPECT_DOUBLE_EQ(floors.team_weights.at("red"), 3);
-    for (const auto& [text, said] : std::map<std::string, std::string>{
+    EXPECT_DOUBLE_EQ(shares.total_share, 0.4);
+    EXPECT_DOUBLE_EQ(shares.starvation_timeout.count(), 20);
+    EXPECT_DOUBLE_EQ(shares.class_weights.at("scan"), 2);
+    EXPECT_DOUBLE_EQ(shares.team_weights.at("red"), 3);
+    for (const auto& [text, message] : std::map<std::string, std::string>{
              {"((floors 1.5))", "floors must be at most 1"},
              {"((floors much))", "floors must be a number"},
              {"((team blue 1))", "there is no team blue"},
@@ -138,35 +142,35 @@
              {"((patience 5))", "an entry is not"},
              {"(floors 1)", "an entry is not"},
              {"floors", "is not an S-expression list"}})
-        EXPECT_NE(complaint_of(text).find(said), std::string::npos) << text;
+        EXPECT_NE(fair_share_settings_error(text).find(message), std::string::npos) << text;
 }
 
-TEST_F(SettingsFile, TheShippedAdmissionFileHoldsTheDefaults) {
-    const auto floors =
+TEST_F(SettingsFile, ShippedAdmissionFileContainsTheDefaults) {
+    const auto shares =
         load_fair_share_settings(std::string(SOURCE_DIR) + "/deploy/admission.sexp", Settings{});
     const fair_share::FairShareSettings defaults;
-    EXPECT_DOUBLE_EQ(floors.total_share, defaults.total_share);
-    EXPECT_DOUBLE_EQ(floors.starvation_timeout.count(), defaults.starvation_timeout.count());
-    EXPECT_TRUE(floors.class_weights.empty() && floors.team_weights.empty());
+    EXPECT_DOUBLE_EQ(shares.total_share, defaults.total_share);
+    EXPECT_DOUBLE_EQ(shares.starvation_timeout.count(), defaults.starvation_timeout.count());
+    EXPECT_TRUE(shares.class_weights.empty() && shares.team_weights.empty());
 }
 
-TEST_F(SettingsFile, WithoutAnAdmissionFileThereAreNoFloors) {
+TEST_F(SettingsFile, NoAdmissionFileDisablesMinimumShares) {
     EXPECT_DOUBLE_EQ(load_fair_share_settings("", Settings{}).total_share, 0);
 }
 
-TEST(MostConnections, WhatIsScarceDecides) {
+TEST(MaxConnections, TheScarcestResourceDecides) {
     Settings settings;
-    OperatorSettings own;
-    own.threads = 500;
-    settings.most_sockets = 2000;
+    OperatorSettings operator_settings;
+    operator_settings.max_connection_threads = 500;
+    settings.max_sockets = 2000;
     settings.memory_mb = 200;
-    EXPECT_EQ(max_connections(settings, own), 500U);
-    settings.most_sockets = 300;
-    EXPECT_EQ(max_connections(settings, own), 200U);
+    EXPECT_EQ(max_connections(settings, operator_settings), 500U);
+    settings.max_sockets = 300;
+    EXPECT_EQ(max_connections(settings, operator_settings), 200U);
     settings.memory_mb = 16;
-    EXPECT_EQ(max_connections(settings, own), 102U);
+    EXPECT_EQ(max_connections(settings, operator_settings), 102U);
     settings.memory_mb = 0.1;
-    EXPECT_EQ(max_connections(settings, own), 1U);
+    EXPECT_EQ(max_connections(settings, operator_settings), 1U);
 }
 
 }  // namespace
