--- a/src/daemon/shutdown.cpp
+++ b/src/daemon/shutdown.cpp
@@ -20,7 +20,7 @@
 
 void wait_for_answers(const io::HttpServer& http) {
     const auto until = Clock::now() + longest_wait_for_answers;
-    while (!http.quiet() && Clock::now() < until) std::this_thread::sleep_for(quiet_poll);
+    while (!http.drained() && Clock::now() < until) std::this_thread::sleep_for(quiet_poll);
 }
 
 }  // namespace
--- a/src/io/clock.hpp
+++ b/src/io/clock.hpp
@@ -1,5 +1,5 @@
-/// The steady clock as a function, so that a simulation can pass its own time in. Taken by each
-/// class outside the core that compares times.
+/// The steady clock as a function, so that simulations can replace it. Each class outside the core
+/// that compares times takes a `ClockFunction`.
 #pragma once
 
 #include <functional>
--- a/src/io/connection_pool.cpp
+++ b/src/io/connection_pool.cpp
@@ -6,42 +6,43 @@
 
 namespace bendspindle::io {
 
-thread_local bool ConnectionPool::turning_away_ = false;
+thread_local bool ConnectionPool::rejecting_ = false;
 
 void ConnectionPool::enqueue(std::function<void()> serve) {
-    bool grow = false;
-    bool turn_away = false;
+    bool start_thread = false;
+    bool reject = false;
     {
         const std::lock_guard lock(mutex_);
-        turn_away = queue_.size() >= max_waiting_;
-        if (!turn_away) queue_.push_back(std::move(serve));
-        if (!turn_away && queue_.size() > idle_ && threads_ < max_threads_) {
+        reject = queue_.size() >= max_waiting_;
+        if (!reject) queue_.push_back(std::move(serve));
+        if (!reject && queue_.size() > idle_ && threads_ < max_threads_) {
             ++threads_;
-            grow = true;
+            start_thread = true;
         }
     }
-    // Otherwise connections that pile up while the process is paused take all its sockets, and it
-    // reaches neither the key-value store nor an agent (tests/http_server_test.cpp).
-    if (turn_away) {
-        turning_away_ = true;
-        serve();  // NOLINT(bugprone-use-after-move): moved only when it was queued
-        turning_away_ = false;
+    // Without this limit, connections that accumulate while the process is paused use up all its
+    // sockets, and it can reach neither the key-value store nor any agent
+    // (tests/http_server_test.cpp).
+    if (reject) {
+        rejecting_ = true;
+        serve();  // NOLINT(bugprone-use-after-move): moved only if it was queued
+        rejecting_ = false;
         return;
     }
-    if (!grow) {
+    if (!start_thread) {
         wake_.notify_one();
         return;
     }
     try {
-        // Detached, not kept: `shutdown` waits for the count of threads to reach 0.
-        std::thread([this] { work(); }).detach();
+        // Detached, because `shutdown` waits until `threads_` is 0 instead of joining.
+        std::thread([this] { serve_connections(); }).detach();
     } catch (const std::system_error&) {
         const std::lock_guard lock(mutex_);
-        --threads_;  // one of the others takes it from the queue
+        --threads_;  // another thread serves the queued connection
     }
 }
 
-void ConnectionPool::work() {
+void ConnectionPool::serve_connections() {
     std::unique_lock lock(mutex_);
     for (;;) {
         ++idle_;
--- a/src/io/connection_stream.cpp
+++ b/src/io/connection_stream.cpp
@@ -49,7 +49,8 @@
 
 ssize_t ConnectionStream::read(char* ptr, size_t size) {
     if (begin_ == end_) {
-        // `Expect: 100-continue` waits for what is still held back here.
+        // Sends buffered output first: a client with `Expect: 100-continue` waits for it before it
+        // sends the body.
         if (!out_.empty() && !flush()) return -1;
         const auto received = receive();
         if (received <= 0) return received;
--- a/src/io/http_client.cpp
+++ b/src/io/http_client.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds connect_limit{1000};
-constexpr const char* cbor = "application/cbor";
-constexpr std::size_t most_idle = 4;
+constexpr std::chrono::milliseconds connect_timeout{1000};
+constexpr const char* content_type = "application/cbor";
+constexpr std::size_t max_idle_connections = 4;
 
-std::optional<HttpAnswer> answer_of(httplib::Result result) {
+std::optional<HttpAnswer> to_response(httplib::Result result) {
     if (!result) return std::nullopt;
     return HttpAnswer{result->status, std::move(result->body)};
 }
@@ -35,7 +35,7 @@
 
 HttpClient::~HttpClient() = default;
 
-std::unique_ptr<httplib::Client> HttpClient::borrow(std::chrono::milliseconds extra) {
+std::unique_ptr<httplib::Client> HttpClient::acquire(std::chrono::milliseconds extra_timeout) {
     std::unique_ptr<httplib::Client> client;
     {
         const std::lock_guard lock(mutex_);
@@ -48,38 +48,38 @@
         client = std::make_unique<httplib::Client>(endpoint_.host, endpoint_.port);
         client->set_keep_alive(true);
         client->set_tcp_nodelay(true);
-        client->set_connection_timeout(connect_limit);
+        client->set_connection_timeout(connect_timeout);
         client->set_write_timeout(timeout_);
     }
-    client->set_read_timeout(timeout_ + extra);
+    client->set_read_timeout(timeout_ + extra_timeout);
     return client;
 }
 
-void HttpClient::give_back(std::unique_ptr<httplib::Client> client) {
+void HttpClient::release(std::unique_ptr<httplib::Client> client) {
     const std::lock_guard lock(mutex_);
-    if (idle_.size() < most_idle) idle_.push_back(std::move(client));
+    if (idle_.size() < max_idle_connections) idle_.push_back(std::move(client));
 }
 
 std::optional<HttpAnswer> HttpClient::get(const std::string& path,
-                                          std::chrono::milliseconds extra) {
-    auto client = borrow(extra);
-    auto answer = answer_of(client->Get(path));
-    if (answer) give_back(std::move(client));
-    return answer;
+                                          std::chrono::milliseconds extra_timeout) {
+    auto client = acquire(extra_timeout);
+    auto response = to_response(client->Get(path));
+    if (response) release(std::move(client));
+    return response;
 }
 
 std::optional<HttpAnswer> HttpClient::post(const std::string& path, const std::string& body) {
-    auto client = borrow({});
-    auto answer = answer_of(client->Post(path, body, cbor));
-    if (answer) give_back(std::move(client));
-    return answer;
+    auto client = acquire({});
+    auto response = to_response(client->Post(path, body, content_type));
+    if (response) release(std::move(client));
+    return response;
 }
 
 std::optional<HttpAnswer> HttpClient::erase(const std::string& path) {
-    auto client = borrow({});
-    auto answer = answer_of(client->Delete(path));
-    if (answer) give_back(std::move(client));
-    return answer;
+    auto client = acquire({});
+    auto response = to_response(client->Delete(path));
+    if (response) release(std::move(client));
+    return response;
 }
 
 }  // namespace bendspindle::io
--- a/src/io/http_client.hpp
+++ b/src/io/http_client.hpp
@@ -1,6 +1,6 @@
-/// Calls to the cloud, the key-value store and agents, with short limits on every step: across a
-/// network partition a call hangs. Owned by each of its callers (`state`, `cloud`, `agents`, the
-/// command line); any thread may call.
+/// HTTP client for the cloud, the key-value store, agents and the command line. Every step has a
+/// short timeout, because calls hang during a network partition. Each user (`state`, `cloud`,
+/// `agents`, the command line) owns its clients. Thread-safe.
 #pragma once
 
 #include <chrono>
@@ -16,21 +16,22 @@
 
 namespace bendspindle::io {
 
-/// HOST:PORT, as settings and agents give it.
+/// A host and port, written HOST:PORT in settings and by agents.
 struct Endpoint {
     std::string host;
     int port = 0;
 };
-/// nullopt without a host or with a port that is none.
+/// Returns nullopt if the host is empty or the port is invalid.
 [[nodiscard]] std::optional<Endpoint> parse_endpoint(const std::string& text);
 
-/// Any answer, whatever its status.
+/// The response to a request, with any status.
 struct HttpAnswer {
     int status = 0;
     std::string body;
 };
 
-/// Kept-alive connections to one host; each call borrows one, so calls do not wait for each other.
+/// A client of one host with a pool of kept-alive connections. Each call uses a connection of its
+/// own, so calls do not wait for each other.
 class HttpClient {
   public:
     HttpClient(Endpoint endpoint, std::chrono::milliseconds timeout);
@@ -38,16 +39,17 @@
     HttpClient(const HttpClient&) = delete;
     HttpClient& operator=(const HttpClient&) = delete;
 
-    /// nullopt: no answer; the request may have been executed, or may still be. `extra` is added
-    /// to the time limit, for a call that the server holds open.
-    std::optional<HttpAnswer> get(const std::string& path,
-                                  std::chrono::milliseconds extra = std::chrono::milliseconds{0});
+    /// Each call returns nullopt if no response arrived; the request may have been executed or may
+    /// still be executed. `extra_timeout` is added to the timeout, for calls that the server holds
+    /// open.
+    std::optional<HttpAnswer> get(const std::string& path, std::chrono::milliseconds extra_timeout =
+                                                               std::chrono::milliseconds{0});
     std::optional<HttpAnswer> post(const std::string& path, const std::string& body);
     std::optional<HttpAnswer> erase(const std::string& path);
 
   private:
-    std::unique_ptr<httplib::Client> borrow(std::chrono::milliseconds extra);
-    void give_back(std::unique_ptr<httplib::Client> client);
+    std::unique_ptr<httplib::Client> acquire(std::chrono::milliseconds extra_timeout);
+    void release(std::unique_ptr<httplib::Client> client);
 
     Endpoint endpoint_;
     std::chrono::milliseconds timeout_;
--- a/src/io/http_server.hpp
+++ b/src/io/http_server.hpp
@@ -1,5 +1,5 @@
-/// cpp-httplib's server with bounded threads and a connection loop that sleeps in poll(2) instead
-/// of waking to look. The daemon sets its routes and runs it.
+/// An HTTP server based on cpp-httplib, with a bounded number of threads and a connection loop that
+/// blocks in poll(2) instead of polling periodically. The daemon registers its routes and runs it.
 #pragma once
 
 #include <httplib.h>
@@ -11,34 +11,35 @@
 
 namespace bendspindle::io {
 
-/// What protects the process from too many, too slow and too large requests.
+/// Limits that protect the process from too many, too slow and too large requests.
 struct HttpServerLimits {
     std::size_t max_threads = 200;
-    std::size_t max_waiting = 400;     ///< connections accepted with no thread free
-    std::chrono::seconds idle{75};     ///< between two requests of a connection
-    std::chrono::seconds message{5};   ///< each wait for the peer within a message
-    std::size_t max_body = 64 * 1024;  ///< of a request, in bytes
+    std::size_t max_waiting = 400;            ///< accepted connections that wait for a thread
+    std::chrono::seconds idle_timeout{75};    ///< between two requests of a connection
+    std::chrono::seconds message_timeout{5};  ///< each wait for the client within a message
+    std::size_t max_body_bytes = 64 * 1024;   ///< of a request
 };
 
-/// A server of users and agents. Routes are set before `listen_after_bind`, which blocks; `bind`,
-/// `stop_accepting` and `quiet` may be called from other threads.
+/// The HTTP server for users and agents. Register the routes before `listen_after_bind`, which
+/// blocks; `bind`, `stop_accepting` and `drained` may be called from other threads.
 class HttpServer : public httplib::Server {
   public:
     explicit HttpServer(HttpServerLimits limits);
-    /// Widens the accept queue, which the library fixes at a handful. False: not bound.
+    /// Binds the address and sets a larger accept backlog than the small fixed one of the library.
+    /// Returns false if the address cannot be bound.
     [[nodiscard]] bool bind(const std::string& host, int port);
-    /// Takes no more connections; those there are end with their next answer.
+    /// Stops accepting connections; existing connections are closed after their next response.
     void stop_accepting();
-    /// Whether no request is being answered.
-    [[nodiscard]] bool quiet() const { return answering_ == 0; }
+    /// Returns whether no request is being processed.
+    [[nodiscard]] bool drained() const { return active_requests_ == 0; }
 
   private:
     bool process_and_close_socket(socket_t sock) override;
 
     HttpServerLimits limits_;
-    std::atomic<std::size_t> open_{0};
-    std::atomic<std::size_t> answering_{0};
-    std::atomic<bool> closing_{false};
+    std::atomic<std::size_t> open_connections_{0};
+    std::atomic<std::size_t> active_requests_{0};
+    std::atomic<bool> stopping_{false};
 };
 
 }  // namespace bendspindle::io
--- a/src/io/log.hpp
+++ b/src/io/log.hpp
@@ -1,7 +1,9 @@
-/// Structured log lines: `event key=value ...`, the event and the keys in snake case.
+/// Structured log lines of the form `event key=value ...`, with the event and the keys in snake
+/// case.
 ///
-/// Levels have one meaning each: error asks for a person, info tells of a change of leadership, of
-/// scale or of the process, debug is for the rest. Arguments are formatted only if the level is on.
+/// Levels: `error` for conditions that require an operator; `info` for changes of leadership, of
+/// the number of machines and of the process state; `debug` for everything else. Arguments are
+/// formatted only if the level is enabled.
 #pragma once
 
 #include <spdlog/spdlog.h>
@@ -13,8 +15,8 @@
 
 namespace detail {
 
-/// Values with spaces, quotes or equal signs, and empty ones, are put into quotes.
-inline std::string quoted_if_needed(std::string value) {
+/// Returns the value in quotes if it is empty or contains whitespace, quotes or equal signs.
+inline std::string quote_if_needed(std::string value) {
     if (!value.empty() && value.find_first_of(" \t\n\"=") == std::string::npos) return value;
     std::string quoted = "\"";
     for (const char character : value) {
@@ -34,7 +36,7 @@
     line += ' ';
     line += key;
     line += '=';
-    line += quoted_if_needed(fmt::format("{}", value));
+    line += quote_if_needed(fmt::format("{}", value));
     append(line, rest...);
 }
 
@@ -49,7 +51,8 @@
 
 }  // namespace detail
 
-/// Each takes the event, then keys and values in turn: `info("leader_elected", "term", term)`.
+/// Each function takes the event, followed by alternating keys and values:
+/// `info("leader_elected", "term", term)`.
 template <typename... Fields>
 void error(std::string_view event, const Fields&... fields) {
     detail::write(spdlog::level::err, event, fields...);
--- a/src/io/peer_link.cpp
+++ b/src/io/peer_link.cpp
@@ -19,12 +19,12 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds connect_limit{700};
-constexpr milliseconds idle_limit{60'000};
-constexpr int accept_queue = 64;
-constexpr std::size_t most_idle = 8;
+constexpr milliseconds connect_timeout{700};
+constexpr milliseconds idle_timeout{60'000};
+constexpr int accept_backlog = 64;
+constexpr std::size_t max_idle_connections = 8;
 
-bool send_all(int fd, const std::string& bytes, milliseconds limit) {
+bool send_all(int fd, const std::string& bytes, milliseconds timeout) {
     std::size_t sent = 0;
     while (sent < bytes.size()) {
         const auto n =
@@ -34,7 +34,7 @@
         } else if (n < 0 && errno == EINTR) {
             continue;
         } else if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
-            if (!wait_for(fd, POLLOUT, limit)) return false;
+            if (!wait_for(fd, POLLOUT, timeout)) return false;
         } else {
             return false;
         }
@@ -42,19 +42,19 @@
     return true;
 }
 
-bool receive_all(int fd, std::string& out, std::size_t size, milliseconds limit) {
+bool receive_all(int fd, std::string& out, std::size_t size, milliseconds timeout) {
     out.resize(size);
-    std::size_t got = 0;
-    while (got < size) {
-        const auto n = ::recv(fd, out.data() + got, size - got, MSG_DONTWAIT);
+    std::size_t received = 0;
+    while (received < size) {
+        const auto n = ::recv(fd, out.data() + received, size - received, MSG_DONTWAIT);
         if (n > 0) {
-            got += static_cast<std::size_t>(n);
+            received += static_cast<std::size_t>(n);
             continue;
         }
         if (n == 0) return false;
         if (errno == EINTR) continue;
         if (errno != EAGAIN && errno != EWOULDBLOCK) return false;
-        if (!wait_for(fd, POLLIN, limit)) return false;
+        if (!wait_for(fd, POLLIN, timeout)) return false;
     }
     return true;
 }
@@ -67,7 +67,7 @@
     return address;
 }
 
-void no_delay(int fd) {
+void set_no_delay(int fd) {
     const int on = 1;
     ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
@@ -77,16 +77,17 @@
     if (!address) return Socket{};
     Socket socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
     if (!socket) return Socket{};
-    // The casts are how the sockets interface passes addresses.
+    // The sockets API passes addresses as pointers to the generic sockaddr.
     const auto* raw = reinterpret_cast<const sockaddr*>(&*address);
     if (::connect(socket.fd(), raw, sizeof *address) != 0) {
-        if (errno != EINPROGRESS || !wait_for(socket.fd(), POLLOUT, connect_limit)) return Socket{};
+        if (errno != EINPROGRESS || !wait_for(socket.fd(), POLLOUT, connect_timeout))
+            return Socket{};
         int error = 0;
         socklen_t size = sizeof error;
         if (::getsockopt(socket.fd(), SOL_SOCKET, SO_ERROR, &error, &size) != 0 || error != 0)
             return Socket{};
     }
-    no_delay(socket.fd());
+    set_no_delay(socket.fd());
     return socket;
 }
 
@@ -124,15 +125,15 @@
             idle_.pop_back();
         }
     }
-    // A kept connection may have died unseen with the peer; what shows that at once is
-    // dropped here and a new one made.
+    // The peer may have closed a pooled connection. An idle connection that is readable was closed
+    // or is broken, and is replaced by a new one.
     if (socket && wait_for(socket.fd(), POLLIN, milliseconds{0})) socket = Socket{};
     if (!socket) socket = connect_to(endpoint_);
     if (!socket) return std::nullopt;
     auto answer = exchange(socket, wire::peer::pack(request));
     if (!answer) return std::nullopt;
     const std::lock_guard lock(mutex_);
-    if (idle_.size() < most_idle) idle_.push_back(std::move(socket));
+    if (idle_.size() < max_idle_connections) idle_.push_back(std::move(socket));
     return answer;
 }
 
@@ -145,7 +146,7 @@
     ::setsockopt(socket.fd(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
     const auto* raw = reinterpret_cast<const sockaddr*>(&*address);
     if (::bind(socket.fd(), raw, sizeof *address) != 0) return false;
-    if (::listen(socket.fd(), accept_queue) != 0) return false;
+    if (::listen(socket.fd(), accept_backlog) != 0) return false;
     listening_ = std::move(socket);
     return true;
 }
@@ -154,13 +155,15 @@
     for (;;) {
         Socket socket(::accept4(listening_.fd(), nullptr, nullptr, SOCK_CLOEXEC));
         if (!socket) {
-            // Out of sockets or a connection that went away: leave the others a moment.
+            // The process has no free socket, or the connection was aborted: wait briefly, so that
+            // other connections can end.
             std::this_thread::sleep_for(milliseconds{20});
             continue;
         }
-        no_delay(socket.fd());
+        set_no_delay(socket.fd());
         try {
-            // Detached: the server lives as long as the process, and a link ends with its peer.
+            // Detached, because the server lives as long as the process; the thread ends when the
+            // connection is closed.
             std::thread([this, s = std::move(socket)]() mutable { serve(std::move(s)); }).detach();
         } catch (const std::system_error&) {
             std::this_thread::sleep_for(milliseconds{20});
@@ -168,39 +171,40 @@
     }
 }
 
-// Rate-limited against a log full of one line: such a peer comes back with every request
-// (tests/peer_link_test.cpp).
-void PeerServer::complain_of_version() {
-    constexpr std::chrono::minutes again{10};
+// Reports a version mismatch at most once per interval: such a peer reconnects for every request
+// and would fill the log with the same line (tests/peer_link_test.cpp).
+void PeerServer::report_version_mismatch() {
+    constexpr std::chrono::minutes report_interval{10};
     const auto now = std::chrono::steady_clock::now();
     {
         const std::lock_guard lock(mutex_);
-        if (complained_ && now - *complained_ < again) return;
-        complained_ = now;
+        if (version_mismatch_reported_ && now - *version_mismatch_reported_ < report_interval)
+            return;
+        version_mismatch_reported_ = now;
     }
-    complain_("a sibling speaks another version of the peer protocol; its requests are refused");
+    report_error_("a peer uses a different version of the peer protocol; its requests are refused");
 }
 
 void PeerServer::serve(Socket socket) {
-    constexpr milliseconds message_limit{2000};
+    constexpr milliseconds message_timeout{2000};
     std::string bytes;
-    while (wait_for(socket.fd(), POLLIN, idle_limit)) {
-        if (!receive_all(socket.fd(), bytes, wire::peer::header_size, message_limit)) return;
+    while (wait_for(socket.fd(), POLLIN, idle_timeout)) {
+        if (!receive_all(socket.fd(), bytes, wire::peer::header_size, message_timeout)) return;
         const auto [header, error] = wire::peer::parse_header(bytes);
         if (error != wire::peer::HeaderError::none) {
             if (error == wire::peer::HeaderError::version)
-                complain_of_version();
+                report_version_mismatch();
             else
-                complain_("malformed header on a peer link");
+                report_error_("malformed header on a peer link");
             return;
         }
-        if (!receive_all(socket.fd(), bytes, header.length, message_limit)) return;
+        if (!receive_all(socket.fd(), bytes, header.length, message_timeout)) return;
         const auto request = wire::peer::parse_request(header.kind, bytes);
         if (!request) {
-            complain_("malformed request on a peer link");
+            report_error_("malformed request on a peer link");
             return;
         }
-        if (!send_all(socket.fd(), wire::peer::pack(handler_(*request)), message_limit)) return;
+        if (!send_all(socket.fd(), wire::peer::pack(handler_(*request)), message_timeout)) return;
     }
 }
 
--- a/src/io/peer_link.hpp
+++ b/src/io/peer_link.hpp
@@ -1,6 +1,5 @@
-/// Links between controllers: blocking sockets that carry the packed structs of wire/peer. The
-/// client side is called by leadership/peers, the server side is run by the daemon on a thread of
-/// its own.
+/// Connections between controllers: blocking sockets that carry the frames of wire/peer.
+/// leadership/peers calls the client; the daemon runs the server on a dedicated thread.
 #pragma once
 
 #include <chrono>
@@ -16,7 +15,7 @@
 
 namespace bendspindle::io {
 
-/// A file descriptor that is closed with its owner; negative: none.
+/// An owned file descriptor, closed by the destructor; negative if there is none.
 class Socket {
   public:
     explicit Socket(int fd = -1) : fd_(fd) {}
@@ -32,13 +31,13 @@
     int fd_;
 };
 
-/// Calls to one peer, from any thread. Each call borrows a connection of its own, so that a call
-/// that hangs delays no other.
+/// A client of one peer with a pool of connections. Thread-safe. Each call uses a connection of its
+/// own, so that a call that hangs does not delay others.
 class PeerClient {
   public:
     PeerClient(Endpoint endpoint, std::chrono::milliseconds timeout)
         : endpoint_(std::move(endpoint)), timeout_(timeout) {}
-    /// nullopt: no answer; the peer may have executed the request all the same.
+    /// Returns nullopt if no answer arrived; the peer may still have executed the request.
     [[nodiscard]] std::optional<wire::peer::Answer> call(const wire::peer::Request& request);
 
   private:
@@ -50,30 +49,30 @@
     std::vector<Socket> idle_;
 };
 
-/// Accepts peers' connections and answers their requests, a thread a connection. It has no end: it
-/// must outlive the process's other threads.
+/// Accepts connections of peers and answers their requests, with one thread per connection. It
+/// cannot be stopped and must outlive all other threads of the process.
 class PeerServer {
   public:
-    /// Called from several threads at once.
+    /// Answers a request; called concurrently from several threads.
     using Handler = std::function<wire::peer::Answer(const wire::peer::Request&)>;
-    /// Gets the text of a log line, from several threads at once.
-    using Complaint = std::function<void(const std::string&)>;
-    PeerServer(Handler handler, Complaint complain)
-        : handler_(std::move(handler)), complain_(std::move(complain)) {}
-    /// Call before `run`. False: the address cannot be listened on.
+    /// Receives the description of a protocol error; called concurrently from several threads.
+    using ErrorReporter = std::function<void(const std::string&)>;
+    PeerServer(Handler handler, ErrorReporter report_error)
+        : handler_(std::move(handler)), report_error_(std::move(report_error)) {}
+    /// Binds the address and listens on it; call before `run`. Returns false if this fails.
     [[nodiscard]] bool bind(const Endpoint& endpoint);
     /// Accepts connections and never returns.
     [[noreturn]] void run();
 
   private:
     void serve(Socket socket);
-    void complain_of_version();
+    void report_version_mismatch();
 
     Handler handler_;
-    Complaint complain_;
+    ErrorReporter report_error_;
     Socket listening_;
-    std::mutex mutex_;                                                 // guards complained_
-    std::optional<std::chrono::steady_clock::time_point> complained_;  // of another version
+    std::mutex mutex_;  // guards version_mismatch_reported_
+    std::optional<std::chrono::steady_clock::time_point> version_mismatch_reported_;
 };
 
 }  // namespace bendspindle::io
--- a/src/io/poll.hpp
+++ b/src/io/poll.hpp
@@ -1,11 +1,12 @@
-/// Waiting for a socket; for the loops of http_server and peer_link.
+/// Waiting for events of a socket, for the connection loops of the HTTP and the peer server.
 #pragma once
 
 #include <chrono>
 
 namespace bendspindle::io {
 
-/// Whether one of the events of poll(2) has come within the limit; signals do not end the wait.
-[[nodiscard]] bool wait_for(int socket, short events, std::chrono::milliseconds limit);
+/// Returns whether one of the poll(2) events occurs within the timeout. Signals do not end the
+/// wait.
+[[nodiscard]] bool wait_for(int socket, short events, std::chrono::milliseconds timeout);
 
 }  // namespace bendspindle::io
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -1,4 +1,4 @@
-// Connections beyond what can be served and may wait are turned away at once.
+// The HTTP server immediately closes connections that exceed its threads and its queue.
 #include "io/http_server.hpp"
 
 #include <gtest/gtest.h>
@@ -11,43 +11,44 @@
 
 using namespace std::chrono_literals;
 
-// Connections that pile up once took every socket of the process.
-TEST(HttpServer, TurnsAwayWhatCanNotWait) {
+// Without a limit on waiting connections, accumulated connections use up all sockets of the
+// process.
+TEST(HttpServer, ClosesConnectionsBeyondTheQueue) {
     const int port = 23000 + static_cast<int>(::getpid() % 1000);
     HttpServerLimits limits;
     limits.max_threads = 2;
     limits.max_waiting = 3;
     HttpServer server(limits);
-    std::atomic<bool> open{false};
-    std::atomic<int> inside{0};
+    std::atomic<bool> release_handlers{false};
+    std::atomic<int> in_handler{0};
     server.Get("/", [&](const httplib::Request&, httplib::Response& response) {
-        ++inside;
-        while (!open) std::this_thread::sleep_for(1ms);
+        ++in_handler;
+        while (!release_handlers) std::this_thread::sleep_for(1ms);
         response.status = 200;
     });
     ASSERT_TRUE(server.bind("127.0.0.1", port));
-    std::thread serving([&] { server.listen_after_bind(); });
+    std::thread server_thread([&] { server.listen_after_bind(); });
     while (!server.is_running()) std::this_thread::sleep_for(1ms);
-    std::atomic<int> answered{0};
+    std::atomic<int> served{0};
     std::atomic<int> refused{0};
-    std::vector<std::thread> users;
-    const auto ask = [&] {
+    std::vector<std::thread> clients;
+    const auto send_request = [&] {
         httplib::Client client("127.0.0.1", port);
         client.set_read_timeout(60s);
         const auto result = client.Get("/");
-        ++(result && result->status == 200 ? answered : refused);
+        ++(result && result->status == 200 ? served : refused);
     };
-    for (int i = 0; i < 2; ++i) users.emplace_back(ask);
-    while (inside < 2) std::this_thread::sleep_for(1ms);
-    for (int i = 0; i < 8; ++i) users.emplace_back(ask);
-    // Of the eight, three wait and five learn at once that they had better go elsewhere.
+    for (int i = 0; i < 2; ++i) clients.emplace_back(send_request);
+    while (in_handler < 2) std::this_thread::sleep_for(1ms);
+    for (int i = 0; i < 8; ++i) clients.emplace_back(send_request);
+    // Of the eight connections, three wait and five are closed immediately.
     while (refused < 5) std::this_thread::sleep_for(1ms);
-    open = true;
-    for (auto& user : users) user.join();
-    EXPECT_EQ(answered, 5);
+    release_handlers = true;
+    for (auto& client_thread : clients) client_thread.join();
+    EXPECT_EQ(served, 5);
     EXPECT_EQ(refused, 5);
     server.stop();
-    serving.join();
+    server_thread.join();
 }
 
 }  // namespace
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -1,4 +1,4 @@
-// The server side of the links between controllers, against peers that speak otherwise.
+// The server for peers, and its handling of clients with a different protocol version.
 #include "io/peer_link.hpp"
 
 #include <arpa/inet.h>
@@ -13,18 +13,18 @@
 namespace bendspindle {
 namespace {
 
-struct Served {
-    std::atomic<int> complaints{0};
+struct TestServer {
+    std::atomic<int> reported_errors{0};
     std::atomic<int> requests{0};
     io::PeerServer server{[this](const wire::peer::Request&) {
                               ++requests;
                               return wire::peer::Answer{200, 0, 7, {}};
                           },
-                          [this](const std::string&) { ++complaints; }};
+                          [this](const std::string&) { ++reported_errors; }};
 };
 
-// What comes back for the bytes; empty when the server closes the link.
-std::string answer_to(int port, const std::string& bytes) {
+// Sends the bytes and returns the answer; empty if the server closes the connection.
+std::string send_and_receive(int port, const std::string& bytes) {
     const io::Socket socket(::socket(AF_INET, SOCK_STREAM, 0));
     sockaddr_in address{};
     address.sin_family = AF_INET;
@@ -39,24 +39,24 @@
     return answer;
 }
 
-// One line in the log for a peer of another version, not one for each of its requests;
-// peers of this version are served all the same.
-TEST(PeerLink, AnotherVersionIsRefusedWithOneLine) {
+// A peer with a different protocol version reconnects for every request. The server must report it
+// once instead of once per request, and still serve peers with the same version.
+TEST(PeerLink, VersionMismatchIsReportedOnce) {
     // The server runs until the process ends, as in a controller.
-    static Served& served = *new Served;
+    static TestServer& test = *new TestServer;
     const int port = 33000 + static_cast<int>(::getpid() % 20000);
-    ASSERT_TRUE(served.server.bind({"127.0.0.1", port}));
-    std::thread([] { served.server.run(); }).detach();
+    ASSERT_TRUE(test.server.bind({"127.0.0.1", port}));
+    std::thread([] { test.server.run(); }).detach();
 
     auto frame =
         wire::peer::pack(wire::peer::Request{wire::peer::Op::leader_announcement, 3, "c1", {}});
-    auto older = frame;
-    older[0] = static_cast<char>(wire::peer::version - 1);
-    for (int i = 0; i < 3; ++i) EXPECT_EQ(answer_to(port, older), "");
-    EXPECT_EQ(served.complaints, 1);
-    EXPECT_EQ(served.requests, 0);
-    EXPECT_FALSE(answer_to(port, frame).empty());
-    EXPECT_EQ(served.requests, 1);
+    auto other_version = frame;
+    other_version[0] = static_cast<char>(wire::peer::version - 1);
+    for (int i = 0; i < 3; ++i) EXPECT_EQ(send_and_receive(port, other_version), "");
+    EXPECT_EQ(test.reported_errors, 1);
+    EXPECT_EQ(test.requests, 0);
+    EXPECT_FALSE(send_and_receive(port, frame).empty());
+    EXPECT_EQ(test.requests, 1);
 }
 
 }  // namespace
