--- a/src/daemon/client.cpp
+++ b/src/daemon/client.cpp
@@ -22,7 +22,7 @@
     return io::HttpClient(*parsed, response_timeout);
 }
 
-int print_response(const std::optional<io::HttpAnswer>& response) {
+int print_response(const std::optional<io::HttpResponse>& response) {
     if (!response) {
         std::cerr << "bendspindle: no answer\n";
         return 3;
--- a/src/io/http_client.cpp
+++ b/src/io/http_client.cpp
@@ -12,9 +12,9 @@
 constexpr const char* content_type = "application/cbor";
 constexpr std::size_t max_idle_connections = 4;
 
-std::optional<HttpAnswer> to_response(httplib::Result result) {
+std::optional<HttpResponse> to_response(httplib::Result result) {
     if (!result) return std::nullopt;
-    return HttpAnswer{result->status, std::move(result->body)};
+    return HttpResponse{result->status, std::move(result->body)};
 }
 
 }  // namespace
@@ -60,22 +60,22 @@
     if (idle_.size() < max_idle_connections) idle_.push_back(std::move(client));
 }
 
-std::optional<HttpAnswer> HttpClient::get(const std::string& path,
-                                          std::chrono::milliseconds extra_timeout) {
+std::optional<HttpResponse> HttpClient::get(const std::string& path,
+                                            std::chrono::milliseconds extra_timeout) {
     auto client = acquire(extra_timeout);
     auto response = to_response(client->Get(path));
     if (response) release(std::move(client));
     return response;
 }
 
-std::optional<HttpAnswer> HttpClient::post(const std::string& path, const std::string& body) {
+std::optional<HttpResponse> HttpClient::post(const std::string& path, const std::string& body) {
     auto client = acquire({});
     auto response = to_response(client->Post(path, body, content_type));
     if (response) release(std::move(client));
     return response;
 }
 
-std::optional<HttpAnswer> HttpClient::erase(const std::string& path) {
+std::optional<HttpResponse> HttpClient::erase(const std::string& path) {
     auto client = acquire({});
     auto response = to_response(client->Delete(path));
     if (response) release(std::move(client));
--- a/src/io/http_client.hpp
+++ b/src/io/http_client.hpp
@@ -25,7 +25,7 @@
 [[nodiscard]] std::optional<Endpoint> parse_endpoint(const std::string& text);
 
 /// The response to a request, with any status.
-struct HttpAnswer {
+struct HttpResponse {
     int status = 0;
     std::string body;
 };
@@ -42,10 +42,11 @@
     /// Each call returns nullopt if no response arrived; the request may have been executed or may
     /// still be executed. `extra_timeout` is added to the timeout, for calls that the server holds
     /// open.
-    std::optional<HttpAnswer> get(const std::string& path, std::chrono::milliseconds extra_timeout =
-                                                               std::chrono::milliseconds{0});
-    std::optional<HttpAnswer> post(const std::string& path, const std::string& body);
-    std::optional<HttpAnswer> erase(const std::string& path);
+    std::optional<HttpResponse> get(
+        const std::string& path,
+        std::chrono::milliseconds extra_timeout = std::chrono::milliseconds{0});
+    std::optional<HttpResponse> post(const std::string& path, const std::string& body);
+    std::optional<HttpResponse> erase(const std::string& path);
 
   private:
     std::unique_ptr<httplib::Client> acquire(std::chrono::milliseconds extra_timeout);
--- a/src/state/http_key_value_store.cpp
+++ b/src/state/http_key_value_store.cpp
@@ -16,7 +16,7 @@
 HttpKeyValueStore::HttpKeyValueStore(io::Endpoint endpoint)
     : client_(std::move(endpoint), call_limit) {}
 
-StoreStatus HttpKeyValueStore::status_of(const std::optional<io::HttpAnswer>& answer) {
+StoreStatus HttpKeyValueStore::status_of(const std::optional<io::HttpResponse>& answer) {
     if (!answer) return StoreStatus::unknown;
     switch (answer->status) {
         case wire::http_status::ok:
--- a/src/state/http_key_value_store.hpp
+++ b/src/state/http_key_value_store.hpp
@@ -29,7 +29,7 @@
     Clock::time_point last_success() const override { return last_success_.load(); }
 
   private:
-    StoreStatus status_of(const std::optional<io::HttpAnswer>& answer);
+    StoreStatus status_of(const std::optional<io::HttpResponse>& answer);
 
     io::HttpClient client_;
     std::atomic<Clock::time_point> last_success_{Clock::time_point{}};
