--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -69,9 +69,9 @@
     const auto asked = Clock::now();
     for (;;) {
         wait_for_rate_limit();
-        const auto answer = client_.get(wire::path::list(after, list_page_size));
+        const auto answer = client_.get(wire::path::machine_list(after, list_page_size));
         if (!answer || answer->status != wire::http_status::ok) return;
-        auto list = wire::parse_list(answer->body);
+        auto list = wire::parse_machine_list(answer->body);
         if (!list) return;
         for (auto& machine : list->machines) machines.push_back(std::move(machine));
         if (!list->more || machines.empty()) break;
@@ -85,7 +85,7 @@
     for (int i = 0; i < scale_out_attempts; ++i) {
         wait_for_rate_limit();
         if (!lease_valid_()) return;
-        const auto answer = client_.post(wire::path::machines, wire::rent_body(request));
+        const auto answer = client_.post(wire::path::machines, wire::scale_out_body(request));
         std::vector<std::string> names;
         if (answer && answer->status == wire::http_status::ok) {
             const auto parsed = wire::parse_scale_out_response(answer->body);
--- a/src/wire/cloud.cpp
+++ b/src/wire/cloud.cpp
@@ -46,7 +46,7 @@
 
 namespace path {
 
-std::string list(const std::string& after, unsigned limit) {
+std::string machine_list(const std::string& after, unsigned limit) {
     auto out = std::string("/machines?page=") + std::to_string(limit);
     if (!after.empty()) out += "&since=" + after;
     return out;
@@ -62,7 +62,7 @@
     });
 }
 
-std::string rent_body(const core::ScaleOutRequest& request) {
+std::string scale_out_body(const core::ScaleOutRequest& request) {
     return to_cbor(Value{{"hire", request.request},
                          {"build", request.type},
                          {"hall", request.zone},
@@ -78,7 +78,7 @@
     return to_cbor(Value{{"spindles", names}});
 }
 
-std::optional<MachineList> parse_list(std::string_view body) {
+std::optional<MachineList> parse_machine_list(std::string_view body) {
     return parse_fields(body, [](const Fields& fields) {
         MachineList list;
         for (const auto& machine : fields.maps("spindles"))
--- a/src/wire/cloud.hpp
+++ b/src/wire/cloud.hpp
@@ -18,12 +18,12 @@
 inline constexpr const char* release = "/machines/release";
 /// Returns the path of one page of the machine list: at most `limit` machines, starting after the
 /// machine named `after`, or with the first one if it is empty.
-std::string list(const std::string& after, unsigned limit);
+std::string machine_list(const std::string& after, unsigned limit);
 }  // namespace path
 
 /// The parse functions return nullopt for a malformed body.
 std::optional<std::vector<core::MachineType>> parse_catalog(std::string_view body);
-std::string rent_body(const core::ScaleOutRequest& request);
+std::string scale_out_body(const core::ScaleOutRequest& request);
 /// Returns the names of the new machines, which may be fewer than requested.
 std::optional<std::vector<std::string>> parse_scale_out_response(std::string_view body);
 std::string release_body(const std::vector<std::string>& names);
@@ -34,6 +34,6 @@
     bool more = false;  ///< more pages follow
 };
 /// Parses one page, which contains machines in every stage.
-std::optional<MachineList> parse_list(std::string_view body);
+std::optional<MachineList> parse_machine_list(std::string_view body);
 
 }  // namespace bendspindle::wire
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -140,7 +140,7 @@
         parse_heartbeat(bytes);
         parse_catalog(bytes);
         parse_scale_out_response(bytes);
-        parse_list(bytes);
+        parse_machine_list(bytes);
         parse_entry(bytes);
         parse_entries(bytes);
         parse_compare_and_swap(bytes);
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -175,7 +175,7 @@
 }
 
 TEST(Golden, CloudCalls) {
-    expect_golden("rent", rent_body({"r-1", "g8", "a", true, 3}));
+    expect_golden("rent", scale_out_body({"r-1", "g8", "a", true, 3}));
     expect_golden("release", release_body({"n-1", "n-2"}));
     EXPECT_EQ(parse_scale_out_response(golden("release")),
               (std::vector<std::string>{"n-1", "n-2"}));
@@ -195,7 +195,7 @@
 
 TEST(Golden, CloudMachineList) {
     using core::MachineStage;
-    const auto list = parse_list(golden("machine_list"));
+    const auto list = parse_machine_list(golden("machine_list"));
     ASSERT_TRUE(list);
     EXPECT_TRUE(list->more);
     ASSERT_EQ(list->machines.size(), 3U);
@@ -332,8 +332,8 @@
     EXPECT_STREQ(path::catalog, "/catalog");
     EXPECT_STREQ(path::machines, "/machines");
     EXPECT_STREQ(path::release, "/machines/release");
-    EXPECT_EQ(path::list("", 50), "/machines?page=50");
-    EXPECT_EQ(path::list("n-1", 50), "/machines?page=50&since=n-1");
+    EXPECT_EQ(path::machine_list("", 50), "/machines?page=50");
+    EXPECT_EQ(path::machine_list("n-1", 50), "/machines?page=50&since=n-1");
     EXPECT_STREQ(path::compare_and_swap, "/txn");
     EXPECT_STREQ(path::leases, "/leases");
     EXPECT_EQ(path::key("view"), "/kv/view");
