--- a/scale/users.cpp
+++ b/scale/users.cpp
@@ -121,7 +121,7 @@
 
 void Users::submit(const std::string& id, TimePoint first) {
     const auto body = wire::job_body(oracle_.job(id)->spec);
-    ask("POST", wire::path::work, body, submit_limit, [this, id, first](int status, const auto&) {
+    ask("POST", wire::path::jobs, body, submit_limit, [this, id, first](int status, const auto&) {
         const auto now = Clock::now();
         auto& job = *oracle_.job(id);
         if (status == 200 || status == 201) {
@@ -145,7 +145,7 @@
     if (!open_.contains(id)) return;
     // An answer that was under way when the cancellation was confirmed may be older.
     const bool was_cancelled = oracle_.job(id)->cancelled.has_value();
-    ask("GET", std::string(wire::path::work) + "/" + id, "", poll_limit,
+    ask("GET", std::string(wire::path::jobs) + "/" + id, "", poll_limit,
         [this, id, was_cancelled](int status, const std::string& stage) {
             polled(*oracle_.job(id), was_cancelled, status, stage);
             if (open_.contains(id)) loop_.at(Clock::now() + poll_every, [this, id] { poll(id); });
@@ -174,7 +174,7 @@
     auto& job = *oracle_.job(id);
     if (!job.accepted || job.over) return;
     cancelling_.insert(id);
-    ask("POST", std::string(wire::path::work) + "/" + id + "/cancel", "", submit_limit,
+    ask("POST", std::string(wire::path::jobs) + "/" + id + "/cancel", "", submit_limit,
         [this, id](int status, const std::string& stage) {
             auto& cancelled = *oracle_.job(id);
             if (status == 200 && stage == "aborted") {
--- a/src/daemon/client.cpp
+++ b/src/daemon/client.cpp
@@ -43,16 +43,16 @@
     const std::string text{std::istreambuf_iterator<char>(in), {}};
     const auto job = wire::Value::parse(text, nullptr, false);
     if (job.is_discarded()) throw config::SettingsError(file, "is not JSON");
-    return print_response(connect(endpoint).post(wire::path::work, wire::to_cbor(job)));
+    return print_response(connect(endpoint).post(wire::path::jobs, wire::to_cbor(job)));
 }
 
 int show_status(const std::string& endpoint, const std::string& id) {
-    return print_response(connect(endpoint).get(std::string(wire::path::work) + "/" + id));
+    return print_response(connect(endpoint).get(std::string(wire::path::jobs) + "/" + id));
 }
 
 int cancel_job(const std::string& endpoint, const std::string& id) {
     return print_response(
-        connect(endpoint).post(std::string(wire::path::work) + "/" + id + "/cancel",
+        connect(endpoint).post(std::string(wire::path::jobs) + "/" + id + "/cancel",
                                wire::to_cbor(wire::Value::object())));
 }
 
--- a/src/daemon/http_routes.cpp
+++ b/src/daemon/http_routes.cpp
@@ -36,7 +36,7 @@
 // Returns whether the path exists, but not with this method.
 bool is_wrong_method(const Request& request) {
     const auto& path = request.path;
-    return path == wire::path::work || path == wire::path::heartbeat ||
+    return path == wire::path::jobs || path == wire::path::heartbeat ||
            path == wire::path::health ||
            (path.starts_with(job_path_prefix) && !is_job_request(request));
 }
@@ -60,7 +60,7 @@
         response.status = handlers.health.healthy() ? wire::http_status::ok
                                                     : wire::http_status::service_unavailable;
     });
-    http.Post(wire::path::work, [handlers](const Request& request, httplib::Response& response) {
+    http.Post(wire::path::jobs, [handlers](const Request& request, httplib::Response& response) {
         write_response(handlers.submission.handle(request.body), response);
     });
     http.Get(job_pattern, [handlers](const Request& request, httplib::Response& response) {
--- a/src/wire/user_messages.hpp
+++ b/src/wire/user_messages.hpp
@@ -14,7 +14,7 @@
 namespace bendspindle::wire {
 
 namespace path {
-inline constexpr const char* work = "/work";
+inline constexpr const char* jobs = "/work";
 inline constexpr const char* health = "/healthz";
 }  // namespace path
 
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -324,7 +324,7 @@
 }
 
 TEST(Golden, PathsAndKeys) {
-    EXPECT_STREQ(path::work, "/work");
+    EXPECT_STREQ(path::jobs, "/work");
     EXPECT_STREQ(path::health, "/healthz");
     EXPECT_STREQ(path::heartbeat, "/checkin");
     EXPECT_STREQ(path::direct_commands, "/orders");
