--- a/src/leadership/cancellation_replica.cpp
+++ b/src/leadership/cancellation_replica.cpp
@@ -34,7 +34,7 @@
     std::erase_if(from_followers_, [&](const auto& entry) { return entry.second <= asked_at; });
     for (const auto& job : snapshot.cancelled)
         from_followers_.try_emplace(job, core::later(asked_at, retention_));
-    if (!snapshot.complete || !covers_deadline(snapshot.memory)) return;
+    if (!snapshot.complete || !covers_deadline(snapshot.history)) return;
     auto& last = follower_asked_at_[peer];
     last = std::max(last, asked_at);
     if (!began_ || !covers_deadline(core::between(*began_, asked_at))) return;
@@ -45,7 +45,7 @@
 wire::peer::CancellationSnapshot CancellationReplica::snapshot(TimePoint now) const {
     wire::peer::CancellationSnapshot out;
     out.complete = true;
-    if (began_) out.memory = std::chrono::floor<std::chrono::milliseconds>(now - *began_);
+    if (began_) out.history = std::chrono::floor<std::chrono::milliseconds>(now - *began_);
     for (const auto& [job, until] : from_leaders_)
         if (until > now) out.cancelled.push_back(job);
     return out;
--- a/src/leadership/cancellation_replication.cpp
+++ b/src/leadership/cancellation_replication.cpp
@@ -137,7 +137,7 @@
     const auto replicated = replica_.snapshot(now);
     wire::peer::CancellationSnapshot out;
     out.age = std::chrono::ceil<milliseconds>(now - proof_.sole_leader_until(lease_end, now));
-    out.memory = replicated.memory;
+    out.history = replicated.history;
     out.complete = own.complete;
     auto cancelled = own.jobs;
     cancelled.insert(replicated.cancelled.begin(), replicated.cancelled.end());
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -106,7 +106,7 @@
     };
     std::string out;
     put_time(out, snapshot.age);
-    put_time(out, snapshot.memory);
+    put_time(out, snapshot.history);
     put<std::uint8_t>(out, complete ? 1 : 0);
     put<std::uint32_t>(out, count);
     return out += list;
@@ -154,7 +154,7 @@
     Reader in(body);
     CancellationSnapshot out;
     out.age = std::chrono::milliseconds(in.get<std::uint32_t>());
-    out.memory = std::chrono::milliseconds(in.get<std::uint32_t>());
+    out.history = std::chrono::milliseconds(in.get<std::uint32_t>());
     const auto complete = in.get<std::uint8_t>();
     const auto count = in.get<std::uint32_t>();
     if (complete > 1 || count > body.size() / sizeof(std::uint16_t)) return std::nullopt;
--- a/src/wire/peer.hpp
+++ b/src/wire/peer.hpp
@@ -70,7 +70,7 @@
 /// The status of the answer is 200 if the sender is the leader, 421 if it is not but knows the
 /// leader, and 503, without a snapshot, otherwise.
 ///
-/// Packed: u32 age in ms, u32 memory in ms, u8 complete, u32 count, and `count` times: u16 id
+/// Packed: u32 age in ms, u32 history in ms, u8 complete, u32 count, and `count` times: u16 id
 /// length, id.
 struct CancellationSnapshot {
     /// From a leader: how long ago it was last certain to be the only leader. No other controller
@@ -78,7 +78,7 @@
     std::chrono::milliseconds age{0};
     /// The time for which the sender has known the leader and stored the cancellations that the
     /// leader announced.
-    std::chrono::milliseconds memory{0};
+    std::chrono::milliseconds history{0};
     /// From a leader: `cancelled` contains all confirmed cancellations that may still be relevant,
     /// including those of earlier terms. From other controllers: `cancelled` contains all
     /// cancellations that they know.
--- a/tests/agent_lease_policy_test.cpp
+++ b/tests/agent_lease_policy_test.cpp
@@ -215,7 +215,7 @@
     replica.record_cancellation("job-1", start);
 
     EXPECT_EQ(replica.snapshot(start + 60s).cancelled, std::vector<std::string>{"job-1"});
-    EXPECT_EQ(replica.snapshot(start + 60s).memory, 60s);
+    EXPECT_EQ(replica.snapshot(start + 60s).history, 60s);
     EXPECT_TRUE(replica.snapshot(start + 101s).cancelled.empty());
 }
 
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -227,7 +227,7 @@
     const auto parsed = peer::parse_cancellation_snapshot(peer::pack(snapshot));
     ASSERT_TRUE(parsed);
     EXPECT_EQ(parsed->age, snapshot.age);
-    EXPECT_EQ(parsed->memory, snapshot.memory);
+    EXPECT_EQ(parsed->history, snapshot.history);
     EXPECT_TRUE(parsed->complete);
     EXPECT_EQ(parsed->cancelled, snapshot.cancelled);
 }
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -319,8 +319,8 @@
     expect_golden("peer_known_cancelled", peer::pack(e));
     const auto w = peer::parse_cancellation_snapshot(golden("peer_known_cancelled"));
     ASSERT_TRUE(w);
-    EXPECT_EQ(std::tie(w->age, w->memory, w->complete, w->cancelled),
-              std::tie(e.age, e.memory, e.complete, e.cancelled));
+    EXPECT_EQ(std::tie(w->age, w->history, w->complete, w->cancelled),
+              std::tie(e.age, e.history, e.complete, e.cancelled));
 }
 
 TEST(Golden, PathsAndKeys) {
