--- a/src/leadership/cancellation_replica.cpp
+++ b/src/leadership/cancellation_replica.cpp
@@ -35,7 +35,7 @@
                   [&](const auto& entry) { return entry.second <= requested_at; });
     for (const auto& job : snapshot.cancelled)
         jobs_from_followers_.try_emplace(job, core::later(requested_at, retention_));
-    if (!snapshot.complete || !covers_deadline(snapshot.memory)) return;
+    if (!snapshot.complete || !covers_deadline(snapshot.history)) return;
     auto& last = follower_requested_at_[peer];
     last = std::max(last, requested_at);
     if (!recording_since_ || !covers_deadline(core::between(*recording_since_, requested_at)))
@@ -49,7 +49,7 @@
     wire::peer::CancellationSnapshot out;
     out.complete = true;
     if (recording_since_)
-        out.memory = std::chrono::floor<std::chrono::milliseconds>(now - *recording_since_);
+        out.history = std::chrono::floor<std::chrono::milliseconds>(now - *recording_since_);
     for (const auto& [job, until] : jobs_from_leaders_)
         if (until > now) out.cancelled.push_back(job);
     return out;
