--- a/src/state/failover_progress.cpp
+++ b/src/state/failover_progress.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// A process that ends sooner is taken to end of what it does as leader.
-constexpr std::chrono::seconds long_enough{8};
+// A process that ends sooner after its election is assumed to have failed at its work as leader.
+constexpr std::chrono::seconds min_leading_time{8};
 
 std::string two_decimals(double value) {
     return fmt::format("{:.2f}", value);
@@ -17,8 +17,9 @@
 
 }  // namespace
 
-void FailoverProgress::loaded(const core::Controller& controller, Clock::time_point now) {
-    recorded_machines_ = controller.unconfirmed();
+void FailoverProgress::on_records_loaded(const core::Controller& controller,
+                                         Clock::time_point now) {
+    recorded_machines_ = controller.unfenced_machine_count();
     half_logged_ = all_logged_ = any_fenced_ = recorded_machines_ == 0;
     io::log::info("records_loaded", "open_jobs", controller.jobs().size(), "machines",
                   recorded_machines_, "after_s", two_decimals(seconds_since_election(now)));
@@ -33,7 +34,7 @@
 }
 
 void FailoverProgress::observe_machines(const core::Controller& controller, Clock::time_point now) {
-    const auto unfenced = controller.unconfirmed();
+    const auto unfenced = controller.unfenced_machine_count();
     any_fenced_ |= unfenced < recorded_machines_;
     if (!half_logged_ && unfenced * 2 <= recorded_machines_) {
         half_logged_ = true;
@@ -47,8 +48,8 @@
     }
 }
 
-bool FailoverProgress::progressed(Clock::time_point now) const {
-    return any_fenced_ && now - elected_at_ >= long_enough;
+bool FailoverProgress::has_progressed(Clock::time_point now) const {
+    return any_fenced_ && now - elected_at_ >= min_leading_time;
 }
 
 }  // namespace bendspindle::state
--- a/src/wire/cloud.cpp
+++ b/src/wire/cloud.cpp
@@ -1,9 +1,9 @@
-// The wire's fields and the code's terms:
+// Field names on the wire and the corresponding terms in the code:
 //   sku, build       machine type                 uid, spindles   machine name, machines
 //   cores, cards     cpus, gpus                   hall, halls     zone, zones
 //   ram_gb           memory_gb                    loaners         spot
-//   rate             price per hour                startup_s       boot time
-//   hire             id of the scale-out request  truncated       pages follow
+//   rate             price per hour               startup_s       boot time
+//   hire             id of the scale-out request  truncated       more pages follow
 #include "wire/cloud.hpp"
 
 #include "wire/fields.hpp"
@@ -37,7 +37,7 @@
     machine.type = fields.text("build");
     machine.zone = fields.text("hall");
     machine.spot = fields.flag("loaners");
-    machine.stage = fields.named(stage_names, "stage");
+    machine.stage = fields.enum_value(stage_names, "stage");
     if (fields.has("age_s")) machine.age = fields.seconds("age_s");
     return machine;
 }
@@ -46,7 +46,7 @@
 
 namespace path {
 
-std::string list(const std::string& after, unsigned limit) {
+std::string machine_list(const std::string& after, unsigned limit) {
     auto out = std::string("/machines?page=") + std::to_string(limit);
     if (!after.empty()) out += "&since=" + after;
     return out;
@@ -62,7 +62,7 @@
     });
 }
 
-std::string rent_body(const core::ScaleOutRequest& request) {
+std::string scale_out_body(const core::ScaleOutRequest& request) {
     return to_cbor(Value{{"hire", request.request},
                          {"build", request.type},
                          {"hall", request.zone},
@@ -78,7 +78,7 @@
     return to_cbor(Value{{"spindles", names}});
 }
 
-std::optional<MachineList> parse_list(std::string_view body) {
+std::optional<MachineList> parse_machine_list(std::string_view body) {
     return parse_fields(body, [](const Fields& fields) {
         MachineList list;
         for (const auto& machine : fields.maps("spindles"))
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -1,5 +1,5 @@
-// The bytes of every message and stored record, compared with files that never change: programs
-// of other versions, users and workers read and write the same bytes.
+// The encoding of every message and stored record, compared with golden files that must not change:
+// other versions of the program, users and agents read and write the same bytes.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -65,13 +65,13 @@
     s.spread = true;
     s.spot = true;
     s.estimate = core::Seconds(240);
-    s.checkpoint = core::Seconds(30);
+    s.checkpoint_interval = core::Seconds(30);
     s.save_time = core::Seconds(4);
     s.deadline = core::Seconds(900);
     return s;
 }
 
-core::Heartbeat full_report() {
+core::Heartbeat full_heartbeat() {
     using core::ExitCause;
     using core::TaskState;
     core::Heartbeat r{"n-000231", "10.1.0.232:9000", "g8", "a", true, 7, 88,
@@ -87,7 +87,7 @@
     return r;
 }
 
-std::vector<core::TaskCommand> all_orders() {
+std::vector<core::TaskCommand> all_commands() {
     return {{core::TaskCommand::Verb::start, "job-1", 0, 4, core::Seconds(0)},
             {core::TaskCommand::Verb::stop, "job-1", 1, 5, core::Seconds(2.5)},
             {core::TaskCommand::Verb::acknowledge, "job-1", 2, 6, core::Seconds(0)}};
@@ -103,7 +103,7 @@
     return record;
 }
 
-// One range more than are written as ranges.
+// A record with 1501 ranges, one more than are stored as ranges, so that it is stored as a bitmap.
 core::JobRecord bitmap_record() {
     auto record = full_record();
     record.spec.tasks = 3003;
@@ -125,8 +125,8 @@
               std::tie(e.need.cpus, e.need.gpus, e.need.memory_gb));
     EXPECT_EQ(std::tie(s.types, s.zone, s.one_zone, s.spread, s.spot),
               std::tie(e.types, e.zone, e.one_zone, e.spread, e.spot));
-    EXPECT_EQ(std::tie(s.estimate, s.checkpoint, s.save_time, s.deadline),
-              std::tie(e.estimate, e.checkpoint, e.save_time, e.deadline));
+    EXPECT_EQ(std::tie(s.estimate, s.checkpoint_interval, s.save_time, s.deadline),
+              std::tie(e.estimate, e.checkpoint_interval, e.save_time, e.deadline));
 }
 
 TEST(Golden, EachKindAndPriority) {
@@ -161,21 +161,21 @@
     expect_golden("redirect_unknown", redirect_body(""));
 }
 
-TEST(Golden, ReportAndOrders) {
-    expect_golden("report", heartbeat_body(full_report()));
+TEST(Golden, HeartbeatAndCommands) {
+    expect_golden("report", heartbeat_body(full_heartbeat()));
     const auto r = parse_heartbeat(golden("report"));
     ASSERT_TRUE(r);
-    const auto e = full_report();
+    const auto e = full_heartbeat();
     EXPECT_EQ(std::tie(r->machine, r->address, r->type, r->zone, r->spot, r->agent_epoch,
-                       r->sequence, r->fencing_token, r->notice, r->tasks),
+                       r->sequence, r->fencing_token, r->reclaim_notice, r->tasks),
               std::tie(e.machine, e.address, e.type, e.zone, e.spot, e.agent_epoch, e.sequence,
-                       e.fencing_token, e.notice, e.tasks));
-    expect_golden("orders", commands_body(41, all_orders()));
-    expect_golden("direct", direct_commands_body({"n-1", "10.1.0.1:9000", 41, 7, all_orders()}));
+                       e.fencing_token, e.reclaim_notice, e.tasks));
+    expect_golden("orders", commands_body(41, all_commands()));
+    expect_golden("direct", direct_commands_body({"n-1", "10.1.0.1:9000", 41, 7, all_commands()}));
 }
 
 TEST(Golden, CloudCalls) {
-    expect_golden("rent", rent_body({"r-1", "g8", "a", true, 3}));
+    expect_golden("rent", scale_out_body({"r-1", "g8", "a", true, 3}));
     expect_golden("release", release_body({"n-1", "n-2"}));
     EXPECT_EQ(parse_scale_out_response(golden("release")),
               (std::vector<std::string>{"n-1", "n-2"}));
@@ -195,7 +195,7 @@
 
 TEST(Golden, CloudMachineList) {
     using core::MachineStage;
-    const auto list = parse_list(golden("machine_list"));
+    const auto list = parse_machine_list(golden("machine_list"));
     ASSERT_TRUE(list);
     EXPECT_TRUE(list->more);
     ASSERT_EQ(list->machines.size(), 3U);
@@ -208,7 +208,7 @@
     EXPECT_EQ(list->machines[2].stage, MachineStage::failed);
 }
 
-TEST(Golden, StateServiceAnswers) {
+TEST(Golden, KeyValueStoreResponses) {
     const auto entry = parse_entry(golden("entry"));
     ASSERT_TRUE(entry);
     EXPECT_EQ(std::tuple(entry->key, entry->value.dump(), entry->mod_revision, entry->lease),
@@ -233,7 +233,7 @@
     EXPECT_EQ(parse_lease(golden("lease_answer")), 7U);
 }
 
-TEST(Golden, StateServiceCalls) {
+TEST(Golden, KeyValueStoreRequests) {
     expect_golden("txn", compare_and_swap_body({{"view", 3}, {"job/job-1", 0}},
                                                {{"job/job-1", Value{{"x", 1}}, 7},
                                                 {"over/job-2", Value{{"x", 1}}, std::nullopt},
@@ -242,11 +242,11 @@
 }
 
 TEST(Golden, JobRecord) {
-    auto nowhere = full_record();
-    nowhere.home.clear();
+    auto without_home = full_record();
+    without_home.home.clear();
     for (const auto& [name, e] : {std::pair("record_job_ranges", full_record()),
                                   std::pair("record_job_bitmap", bitmap_record()),
-                                  std::pair("record_job_no_home", nowhere)}) {
+                                  std::pair("record_job_no_home", without_home)}) {
         expect_golden(name, to_cbor(job_record(e)));
         const auto r = parse_job_record(*parse_cbor(golden(name)));
         ASSERT_TRUE(r) << name;
@@ -256,7 +256,7 @@
     }
 }
 
-TEST(Golden, FinalMachineAndLeadershipRecords) {
+TEST(Golden, TerminalMachineAndLeadershipRecords) {
     auto record = full_record();
     record.terminal_state = core::TerminalState::done;
     expect_golden("record_final_done", to_cbor(terminal_record(record)));
@@ -277,13 +277,13 @@
     EXPECT_EQ(m->stage, core::MachineStage::running);
 
     expect_golden("record_view", to_cbor(leadership_record({5, "c1", 2})));
-    for (const auto& [name, returns] :
+    for (const auto& [name, consecutive_restarts] :
          {std::pair("record_view", 2U), std::pair("record_view_without_returns", 0U)}) {
         const auto v = parse_leadership_record(*parse_cbor(golden(name)));
         ASSERT_TRUE(v) << name;
         EXPECT_EQ(v->term, 5U);
         EXPECT_EQ(v->leader, "c1");
-        EXPECT_EQ(v->consecutive_restarts, returns);
+        EXPECT_EQ(v->consecutive_restarts, consecutive_restarts);
     }
 }
 
@@ -308,7 +308,7 @@
     }
 }
 
-TEST(Golden, PeerAnswerAndWord) {
+TEST(Golden, PeerAnswerAndCancellationSnapshot) {
     expect_golden("peer_answer", peer::pack(peer::Answer{421, 3, 9, "body"}));
     const auto a = peer::parse_answer(0x80, golden("peer_answer").substr(peer::header_size));
     ASSERT_TRUE(a);
@@ -319,12 +319,12 @@
     expect_golden("peer_known_cancelled", peer::pack(e));
     const auto w = peer::parse_cancellation_snapshot(golden("peer_known_cancelled"));
     ASSERT_TRUE(w);
-    EXPECT_EQ(std::tie(w->age, w->memory, w->complete, w->cancelled),
-              std::tie(e.age, e.memory, e.complete, e.cancelled));
+    EXPECT_EQ(std::tie(w->age, w->history, w->complete, w->cancelled),
+              std::tie(e.age, e.history, e.complete, e.cancelled));
 }
 
 TEST(Golden, PathsAndKeys) {
-    EXPECT_STREQ(path::work, "/work");
+    EXPECT_STREQ(path::jobs, "/work");
     EXPECT_STREQ(path::health, "/healthz");
     EXPECT_STREQ(path::heartbeat, "/checkin");
     EXPECT_STREQ(path::direct_commands, "/orders");
@@ -332,8 +332,8 @@
     EXPECT_STREQ(path::catalog, "/catalog");
     EXPECT_STREQ(path::machines, "/machines");
     EXPECT_STREQ(path::release, "/machines/release");
-    EXPECT_EQ(path::list("", 50), "/machines?page=50");
-    EXPECT_EQ(path::list("n-1", 50), "/machines?page=50&since=n-1");
+    EXPECT_EQ(path::machine_list("", 50), "/machines?page=50");
+    EXPECT_EQ(path::machine_list("n-1", 50), "/machines?page=50&since=n-1");
     EXPECT_STREQ(path::compare_and_swap, "/txn");
     EXPECT_STREQ(path::leases, "/leases");
     EXPECT_EQ(path::key("view"), "/kv/view");
@@ -344,7 +344,7 @@
     EXPECT_EQ(path::keep_alive(7), "/leases/7/touch");
     EXPECT_STREQ(state::keys::jobs, "job/");
     EXPECT_EQ(state::keys::job("job-1"), "job/job-1");
-    EXPECT_EQ(state::keys::over("job-1"), "over/job-1");
+    EXPECT_EQ(state::keys::ended_job("job-1"), "over/job-1");
     EXPECT_EQ(state::keys::machine("n-1"), "machine/n-1");
     EXPECT_STREQ(state::keys::leader, "steward");
 }
--- a/tests/leader_changes_test.cpp
+++ b/tests/leader_changes_test.cpp
@@ -356,7 +356,7 @@
     const auto calls = controller->direct_commands(start);
     ASSERT_EQ(calls.size(), 1U);
     const auto answer = heartbeat(2, 3);
-    controller->called(calls[0], core::CommandOutcome::executed, &answer, start);
+    controller->complete_direct_call(calls[0], core::CommandOutcome::executed, &answer, start);
     EXPECT_EQ(stopped(controller->heartbeat(heartbeat(1, 2), start)), Jobs{"job-100001"});
 }
 
@@ -392,15 +392,15 @@
 // Before its records are loaded it renews no longer than a follower may, with the same stops.
 TEST_F(Leader, WithoutRecordsRenewsByWhatItRemembersOnly) {
     const auto body = wire::heartbeat_body(heartbeat(1, 2));
-    EXPECT_EQ(desk_.heartbeat(body, agents::RequestOrigin::client).status, 503);
+    EXPECT_EQ(desk_.handle(body, agents::RequestOrigin::client).status, 503);
     replication_.on_deposed({true, {"job-100001"}});
-    const auto response = desk_.heartbeat(body, agents::RequestOrigin::client);
+    const auto response = desk_.handle(body, agents::RequestOrigin::client);
     ASSERT_EQ(response.status, 200);
     const core::TaskCommand stop{core::TaskCommand::Verb::stop, "job-100001", 0, 7,
                                  core::Seconds{0}};
     EXPECT_EQ(response.body, wire::commands_body(3, {stop}));
     now_ = core::later(start, leadership::renewal_bound(workers_) + core::Seconds(1));
-    EXPECT_EQ(desk_.heartbeat(body, agents::RequestOrigin::client).status, 503);
+    EXPECT_EQ(desk_.handle(body, agents::RequestOrigin::client).status, 503);
 }
 
 TEST(LeaderChanges, WithoutTroublesWorkRunsAndCancellationsEndIt) {
--- a/tests/standin/leader_change_simulation.cpp
+++ b/tests/standin/leader_change_simulation.cpp
@@ -91,7 +91,7 @@
     }
 
     wire::peer::Answer answer(const wire::peer::Request& request) {
-        peers.was_called();
+        peers.record_incoming_call();
         wire::Response response;
         switch (request.op) {
             case wire::peer::Op::status:
@@ -100,7 +100,7 @@
                 response.status = cancel(request.id, agents::RequestOrigin::peer);
                 break;
             case wire::peer::Op::heartbeat:
-                response = desk.heartbeat(request.body, agents::RequestOrigin::peer);
+                response = desk.handle(request.body, agents::RequestOrigin::peer);
                 break;
             case wire::peer::Op::leader_announcement:
                 elector.learn_leader(request.term, request.id);
@@ -161,7 +161,7 @@
     }
 
     int from_record(const std::string& job) {
-        const auto over = store.get(state::keys::over(job));
+        const auto over = store.get(state::keys::ended_job(job));
         if (over.outcome != StoreStatus::ok) return 503;
         const auto terminal_state = wire::parse_terminal_record(over.entry.value).value();
         terminal_states.put(job, terminal_state);
@@ -179,7 +179,7 @@
         timeline_.wait(Seconds{0.05 * world_.below_one()});
         for (;;) {
             look = std::make_shared<Timeline::Signal>();
-            elector.round();
+            elector.run_once();
             timeline_.wait_for(look, Seconds{0.45 + 0.1 * world_.below_one()});
         }
     }
@@ -187,7 +187,7 @@
     // `daemon::Announcements`.
     void announce() {
         for (;;) {
-            replication.round();
+            replication.exchange_with_peers();
             if (elector.status().leading && desk.detect_inbound_unreachable())
                 elector.yield_leadership();
             timeline_.wait(Seconds{1});
@@ -256,9 +256,9 @@
             leader_state.lock().take_write_request();
             if (!controller()) continue;
             const auto term = controller()->term();
-            const auto changes = controller()->changes(12, timeline_.now());
+            const auto changes = controller()->due_writes(12, timeline_.now());
             if (changes.empty()) continue;
-            const auto terminal_states_sent = controller()->sent(changes);
+            const auto terminal_states_sent = controller()->mark_sent(changes);
             std::vector<wire::Condition> conditions{
                 {state::keys::leader, leader_state.lock().leader_key_revision()}};
             std::vector<wire::Operation> operations;
@@ -270,7 +270,7 @@
                 read_back(changes, term, cas_result.failed);
             } else {
                 if (cas_result.outcome != StoreStatus::unknown && same(term))
-                    controller()->rejected(terminal_states_sent);
+                    controller()->mark_rejected(terminal_states_sent);
                 timeline_.wait(Seconds{0.15 + 0.3 * world_.below_one()});
             }
         }
@@ -289,15 +289,15 @@
                 operations.push_back({key, wire::job_record(change.job), {}});
                 break;
             case Type::finish_job:
-                conditions.push_back({state::keys::over(change.id), 0});
+                conditions.push_back({state::keys::ended_job(change.id), 0});
                 if (change.mod_revision != 0) operations.push_back({key, std::nullopt, {}});
                 operations.push_back(
-                    {state::keys::over(change.id), wire::terminal_record(change.job), {}});
+                    {state::keys::ended_job(change.id), wire::terminal_record(change.job), {}});
                 break;
             case Type::put_machine:
                 operations.push_back({key, wire::machine_record(change.machine), {}});
                 break;
-            case Type::drop_machine:
+            case Type::delete_machine:
                 operations.push_back({key, std::nullopt, {}});
                 break;
         }
@@ -308,7 +308,7 @@
         for (const auto& change : changes)
             if (change.type == core::RecordWrite::Type::finish_job)
                 terminal_states.put(change.id, change.job.terminal_state);
-        if (same(term)) controller()->committed(changes, revision, timeline_.now());
+        if (same(term)) controller()->mark_committed(changes, revision, timeline_.now());
         leader_state.lock().request_placement();
     }
 
@@ -323,13 +323,13 @@
         for (const auto& change : changes) {
             const bool job = change.type == Type::put_job || change.type == Type::finish_job;
             const auto key = job ? state::keys::job(change.id) : state::keys::machine(change.id);
-            const bool over_failed = job && failed.contains(state::keys::over(change.id));
+            const bool over_failed = job && failed.contains(state::keys::ended_job(change.id));
             if (!failed.contains(key) && !over_failed) continue;
             const auto record = store.get(key);
             if (record.outcome != StoreStatus::ok && record.outcome != StoreStatus::absent) return;
             std::optional<core::TerminalState> terminal_state;
             if (job) {
-                const auto over = store.get(state::keys::over(change.id));
+                const auto over = store.get(state::keys::ended_job(change.id));
                 if (over.outcome != StoreStatus::ok && over.outcome != StoreStatus::absent) return;
                 if (over.outcome == StoreStatus::ok)
                     terminal_state = wire::parse_terminal_record(over.entry.value);
@@ -337,7 +337,8 @@
             if (terminal_state) terminal_states.put(change.id, *terminal_state);
             if (!same(term)) return;
             if (terminal_state)
-                controller()->finished_by_record(change.id, *terminal_state, timeline_.now());
+                controller()->apply_recorded_terminal_state(change.id, *terminal_state,
+                                                            timeline_.now());
             else
                 controller()->set_mod_revision(
                     change.type, change.id,
@@ -360,7 +361,7 @@
                 controller()->direct_commands(timeline_.now(), replication.may_renew());
             auto& progress = *leader_state.lock().failover_progress();
             progress.observe(*controller(), timeline_.now());
-            if (progress.progressed(timeline_.now())) elector.made_progress();
+            if (progress.has_progressed(timeline_.now())) elector.record_progress();
             for (const auto& call : calls) world_.deliver_call(shared_from_this(), call);
         }
     }
@@ -603,7 +604,7 @@
             for (const auto& entry : live_) {
                 const auto node = entry.second;
                 timeline_.spawn(node->life, [node, body] {
-                    node->desk.heartbeat(body, agents::RequestOrigin::client);
+                    node->desk.handle(body, agents::RequestOrigin::client);
                 });
             }
         });
@@ -732,7 +733,7 @@
     const auto body = wire::heartbeat_body(machine.last_heartbeat);
     timeline_.in(node->life, latency(), [=, this, &machine] {
         timeline_.spawn(node->life, [=, this, &machine] {
-            const auto response = node->desk.heartbeat(body, agents::RequestOrigin::client);
+            const auto response = node->desk.handle(body, agents::RequestOrigin::client);
             timeline_.after(latency(),
                             [=, this, &machine] { answered(machine, flight, response); });
         });
@@ -823,7 +824,8 @@
             if (std::exchange(*settled, true)) return;
             auto* const controller = from->leader_state.lock().controller();
             if (!controller || controller->term() != call.fencing_token) return;
-            controller->called(call, outcome, heartbeat ? &*heartbeat : nullptr, timeline_.now());
+            controller->complete_direct_call(call, outcome, heartbeat ? &*heartbeat : nullptr,
+                                             timeline_.now());
             from->leader_state.lock().request_write();
             from->leader_state.lock().request_placement();
         });
--- a/tests/standin/simulated_cluster.cpp
+++ b/tests/standin/simulated_cluster.cpp
@@ -87,7 +87,7 @@
     if (!to) return;
     const auto answer = to->heartbeat(heartbeat, at());
     record_commands(agent.name, answer.commands);
-    if (!answered || !answer.entitled || agent.inbound_unreachable) return;
+    if (!answered || !answer.leader_is_current || agent.inbound_unreachable) return;
     if (agent.response_delayed) {
         agent.response_delayed = false;
         agent.awaits_response_until = now_ + 3.25;
@@ -123,7 +123,7 @@
     }
     for (auto* from : {controller_.get(), former_leader_.get()})
         if (from && from->term() == command.fencing_token)
-            from->called(command, outcome, &heartbeat, at());
+            from->complete_direct_call(command, outcome, &heartbeat, at());
 }
 
 void SimulatedCluster::deliver_command_responses() {
@@ -135,8 +135,8 @@
     for (const auto& late : arrived)
         for (auto* from : {controller_.get(), former_leader_.get()})
             if (from && from->term() == late.deliver_command.fencing_token)
-                from->called(late.deliver_command, core::CommandOutcome::executed, &late.heartbeat,
-                             at());
+                from->complete_direct_call(late.deliver_command, core::CommandOutcome::executed,
+                                           &late.heartbeat, at());
 }
 
 void SimulatedCluster::execute_commands(SimulatedAgent& agent,
@@ -144,7 +144,7 @@
     for (const auto& command : commands) {
         const bool known = specs_.contains(command.job);
         const double run = known ? run_time_[command.job] : 1;
-        const double save = known && specs_[command.job].checkpoint > Seconds{0}
+        const double save = known && specs_[command.job].checkpoint_interval > Seconds{0}
                                 ? specs_[command.job].save_time.count()
                                 : 0;
         const bool cached = known && agent.images.contains(specs_[command.job].image);
@@ -325,7 +325,7 @@
             continue;
         }
         delayed_commands_.push_back(due);
-        from.called(due, core::CommandOutcome::unknown, nullptr, at());
+        from.complete_direct_call(due, core::CommandOutcome::unknown, nullptr, at());
     }
 }
 
--- a/tests/standin/simulated_cluster_store.cpp
+++ b/tests/standin/simulated_cluster_store.cpp
@@ -20,11 +20,11 @@
     if (!controller_ || !state_up_ || now_ < next_write_at_) return;
     const auto under_way = [&](const auto& other) { return other.answered && other.term == term_; };
     if (std::any_of(transactions_.begin(), transactions_.end(), under_way)) return;
-    const auto changes = controller_->changes(48, at());
+    const auto changes = controller_->due_writes(48, at());
     if (changes.empty()) return;
-    const auto terminal_states = controller_->sent(changes);
+    const auto terminal_states = controller_->mark_sent(changes);
     if (writes_ == Writes::refused) {
-        controller_->rejected(terminal_states);
+        controller_->mark_rejected(terminal_states);
         return;
     }
     const bool answered = writes_ != Writes::unanswered;
@@ -53,7 +53,8 @@
         }
         const bool answer_arrives =
             transaction.answered && controller_ && transaction.term == term_;
-        if (answer_arrives && holds) controller_->committed(transaction.changes, revision_, at());
+        if (answer_arrives && holds)
+            controller_->mark_committed(transaction.changes, revision_, at());
         if (answer_arrives && !holds)
             for (const auto& change : transaction.changes) reconcile_conflict(change);
     }
@@ -68,7 +69,7 @@
 
 bool SimulatedCluster::condition_holds(const core::RecordWrite& change) const {
     using Type = core::RecordWrite::Type;
-    if (change.type == Type::put_machine || change.type == Type::drop_machine) {
+    if (change.type == Type::put_machine || change.type == Type::delete_machine) {
         const auto it = records_.find(change.id);
         return change.mod_revision == (it == records_.end() ? 0 : it->second.second);
     }
@@ -103,14 +104,14 @@
 void SimulatedCluster::reconcile_conflict(const core::RecordWrite& change) {
     if (condition_holds(change)) return;
     using Type = core::RecordWrite::Type;
-    if (change.type == Type::put_machine || change.type == Type::drop_machine) {
+    if (change.type == Type::put_machine || change.type == Type::delete_machine) {
         const auto it = records_.find(change.id);
         controller_->set_mod_revision(change.type, change.id,
                                       it == records_.end() ? 0 : it->second.second);
         return;
     }
     if (terminal_states_.contains(change.id)) {
-        controller_->finished_by_record(change.id, terminal_states_.at(change.id), at());
+        controller_->apply_recorded_terminal_state(change.id, terminal_states_.at(change.id), at());
         return;
     }
     const auto it = jobs_.find(change.id);
