--- a/src/daemon/announcements.cpp
+++ b/src/daemon/announcements.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds interval{1000};
+constexpr std::chrono::milliseconds announcement_interval{1000};
 
 }  // namespace
 
@@ -22,7 +22,7 @@
     for (;;) {
         replication_.round();
         if (elector_.status().leading) yield_if_unreachable();
-        std::this_thread::sleep_for(interval);
+        std::this_thread::sleep_for(announcement_interval);
     }
 }
 
--- a/src/daemon/announcements.hpp
+++ b/src/daemon/announcements.hpp
@@ -1,7 +1,7 @@
-/// What a controller does each second besides its requests: it exchanges announcements and
-/// cancellations with its peers, and as leader gives way once agents reach its peers only.
+/// Periodic exchange of leader announcements and cancellations between a controller and its peers,
+/// once per second. A leader also yields its leadership here if agents can reach only its peers.
 ///
-/// `run` has a thread of its own; calls to peers are made without any lock.
+/// `run` occupies a thread of its own. Peers are called without holding any lock.
 #pragma once
 
 #include "agents/heartbeat_handler.hpp"
@@ -10,15 +10,15 @@
 
 namespace bendspindle::daemon {
 
-/// The rounds of one controller with its peers.
+/// Exchanges announcements with the peers and yields leadership if agents cannot reach this leader.
 class Announcements {
   public:
-    /// All of these outlive it.
+    /// All arguments must outlive this object.
     Announcements(leadership::LeaderElector& elector,
                   leadership::CancellationReplication& replication,
                   agents::HeartbeatHandler& heartbeats);
 
-    /// Runs until the process ends.
+    /// Exchanges announcements every second; never returns.
     void run();
 
   private:
--- a/src/daemon/client.cpp
+++ b/src/daemon/client.cpp
@@ -14,24 +14,24 @@
 
 namespace {
 
-constexpr std::chrono::seconds answer_limit{5};
+constexpr std::chrono::seconds response_timeout{5};
 
 io::HttpClient connect(const std::string& endpoint) {
     const auto parsed = io::parse_endpoint(endpoint);
     if (!parsed) throw config::SettingsError("--to", "is not HOST:PORT");
-    return io::HttpClient(*parsed, answer_limit);
+    return io::HttpClient(*parsed, response_timeout);
 }
 
-int show(const std::optional<io::HttpAnswer>& answer) {
-    if (!answer) {
+int print_response(const std::optional<io::HttpAnswer>& response) {
+    if (!response) {
         std::cerr << "bendspindle: no answer\n";
         return 3;
     }
-    const auto body = wire::parse_cbor(answer->body);
+    const auto body = wire::parse_cbor(response->body);
     std::cout << (body ? body->dump() : std::string("{}")) << "\n";
-    if (answer->status == wire::http_status::ok || answer->status == wire::http_status::created)
+    if (response->status == wire::http_status::ok || response->status == wire::http_status::created)
         return 0;
-    std::cerr << "bendspindle: refused with status " << answer->status << "\n";
+    std::cerr << "bendspindle: refused with status " << response->status << "\n";
     return 1;
 }
 
@@ -43,16 +43,17 @@
     const std::string text{std::istreambuf_iterator<char>(in), {}};
     const auto job = wire::Value::parse(text, nullptr, false);
     if (job.is_discarded()) throw config::SettingsError(file, "is not JSON");
-    return show(connect(endpoint).post(wire::path::work, wire::to_cbor(job)));
+    return print_response(connect(endpoint).post(wire::path::work, wire::to_cbor(job)));
 }
 
 int show_status(const std::string& endpoint, const std::string& id) {
-    return show(connect(endpoint).get(std::string(wire::path::work) + "/" + id));
+    return print_response(connect(endpoint).get(std::string(wire::path::work) + "/" + id));
 }
 
 int cancel_job(const std::string& endpoint, const std::string& id) {
-    return show(connect(endpoint).post(std::string(wire::path::work) + "/" + id + "/cancel",
-                                       wire::to_cbor(wire::Value::object())));
+    return print_response(
+        connect(endpoint).post(std::string(wire::path::work) + "/" + id + "/cancel",
+                               wire::to_cbor(wire::Value::object())));
 }
 
 }  // namespace bendspindle::daemon
--- a/src/daemon/client.hpp
+++ b/src/daemon/client.hpp
@@ -1,13 +1,14 @@
-/// The client verbs of the command line: submit, status, cancel. Called by `main` alone, with one
-/// call to a controller each.
+/// The client commands of the command line: submit, status and cancel. Called only by `main`; each
+/// command makes one request to a controller.
 #pragma once
 
 #include <string>
 
 namespace bendspindle::daemon {
 
-/// Each prints the answer as JSON and returns the exit code: 0 accepted, 1 refused, 3 no answer.
-/// Throws `config::SettingsError` for an endpoint or a file that cannot be used.
+/// Each function prints the response as JSON and returns the exit code: 0 if the request was
+/// accepted, 1 if it was refused, 3 if no response arrived. Throws `config::SettingsError` if the
+/// endpoint or the file is invalid.
 int submit_file(const std::string& endpoint, const std::string& file);
 int show_status(const std::string& endpoint, const std::string& id);
 int cancel_job(const std::string& endpoint, const std::string& id);
--- a/src/daemon/failover.cpp
+++ b/src/daemon/failover.cpp
@@ -13,17 +13,17 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr std::chrono::milliseconds load_retry{300};
+constexpr std::chrono::milliseconds load_retry_interval{300};
 
 }  // namespace
 
-Failover::Failover(const config::Settings& settings, const config::OperatorSettings& own,
-                   state::KeyValueStore& store, state::LeaderState& leader_state,
-                   leadership::LeaderElector& elector,
+Failover::Failover(const config::Settings& settings,
+                   const config::OperatorSettings& operator_settings, state::KeyValueStore& store,
+                   state::LeaderState& leader_state, leadership::LeaderElector& elector,
                    leadership::CancellationReplication& replication,
                    agents::HeartbeatHandler& heartbeats)
     : settings_(settings),
-      own_(own),
+      operator_settings_(operator_settings),
       store_(store),
       leader_state_(leader_state),
       elector_(elector),
@@ -45,10 +45,11 @@
     std::optional<std::uint64_t> revision;
     for (;;) {
         if (!leads_under(term)) return;
-        controller = std::make_unique<core::Controller>(config::core_config(settings_, own_), term);
+        controller = std::make_unique<core::Controller>(
+            config::core_config(settings_, operator_settings_), term);
         revision = state::load_records(store_, *controller);
         if (revision) break;
-        std::this_thread::sleep_for(load_retry);
+        std::this_thread::sleep_for(load_retry_interval);
     }
     auto access = leader_state_.lock();
     if (!leads_under(term)) return;
--- a/src/daemon/failover.hpp
+++ b/src/daemon/failover.hpp
@@ -1,8 +1,8 @@
-/// What a controller does when it is elected leader and when it is deposed.
+/// The transitions of a controller when it is elected leader and when it is deposed.
 ///
-/// Called by the elector on the elector's thread, which must not be held up: it renews the lease.
-/// Loading the records therefore has a thread of its own, one for each time of being elected; it
-/// ends by itself once the records are loaded or the term is over.
+/// The elector calls this class on its own thread, which must not be blocked because it renews the
+/// lease. Each election therefore starts a new thread that loads the records; this thread ends once
+/// the records are loaded or the term is over.
 #pragma once
 
 #include <cstdint>
@@ -18,18 +18,18 @@
 
 namespace bendspindle::daemon {
 
-/// Turns the elector's events into a loaded core, and back into none.
+/// Loads the state of the leader after an election and removes it when leadership is lost.
 class Failover {
   public:
-    /// All of these outlive it.
-    Failover(const config::Settings& settings, const config::OperatorSettings& own,
+    /// All arguments must outlive this object.
+    Failover(const config::Settings& settings, const config::OperatorSettings& operator_settings,
              state::KeyValueStore& store, state::LeaderState& leader_state,
              leadership::LeaderElector& elector, leadership::CancellationReplication& replication,
              agents::HeartbeatHandler& heartbeats);
 
-    /// Begins to load the records for this term; returns at once.
+    /// Starts to load the records for this term in the background and returns immediately.
     void on_elected(std::uint64_t term, std::uint64_t leader_key_revision);
-    /// Hands what was cancelled over to the replication and drops the core.
+    /// Passes the cancelled jobs to the replication and removes the core controller.
     void on_deposed();
 
   private:
@@ -38,7 +38,7 @@
     [[nodiscard]] bool leads_under(std::uint64_t term) const;
 
     const config::Settings& settings_;
-    const config::OperatorSettings& own_;
+    const config::OperatorSettings& operator_settings_;
     state::KeyValueStore& store_;
     state::LeaderState& leader_state_;
     leadership::LeaderElector& elector_;
--- a/src/daemon/http_routes.cpp
+++ b/src/daemon/http_routes.cpp
@@ -14,37 +14,41 @@
 using Origin = agents::RequestOrigin;
 
 constexpr const char* content_type = "application/cbor";
-constexpr const char* one_job = R"(/work/([^/]*))";
-constexpr const char* cancel_one_job = R"(/work/([^/]*)/cancel)";
-constexpr const char* below_work = "/work/";
+constexpr const char* job_pattern = R"(/work/([^/]*))";
+constexpr const char* cancel_pattern = R"(/work/([^/]*)/cancel)";
+constexpr const char* job_path_prefix = "/work/";
 
-void send(const wire::Response& answer, httplib::Response& response) {
-    response.status = answer.status;
-    if (answer.retry_after > 0)
-        response.set_header("Retry-After", std::to_string(answer.retry_after));
-    response.set_content(answer.body, content_type);
+void write_response(const wire::Response& result, httplib::Response& response) {
+    response.status = result.status;
+    if (result.retry_after > 0)
+        response.set_header("Retry-After", std::to_string(result.retry_after));
+    response.set_content(result.body, content_type);
 }
 
-// A job's id may be any text: asked for in the right way it is unknown, not a wrong method.
-bool names_a_job(const Request& request) {
-    if (!request.path.starts_with(below_work)) return false;
+// Returns whether the request has the method and path of a job request. The id may be any text: a
+// path that no job pattern matches is an unknown job (404), not a wrong method (405).
+bool is_job_request(const Request& request) {
+    if (!request.path.starts_with(job_path_prefix)) return false;
     return request.method == "GET" ||
            (request.method == "POST" && request.path.ends_with("/cancel"));
 }
 
-bool is_served_otherwise(const Request& request) {
+// Returns whether the path exists, but not with this method.
+bool is_wrong_method(const Request& request) {
     const auto& path = request.path;
     return path == wire::path::work || path == wire::path::heartbeat ||
-           path == wire::path::health || (path.starts_with(below_work) && !names_a_job(request));
+           path == wire::path::health ||
+           (path.starts_with(job_path_prefix) && !is_job_request(request));
 }
 
-// For what reached no handler: the protocol's statuses and a body as in every error.
-void answer_unserved(const Request& request, httplib::Response& response) {
+// Completes responses of requests that reached no handler: sets a status of the protocol and the
+// usual error body.
+void complete_error_response(const Request& request, httplib::Response& response) {
     if (!response.body.empty()) return;
-    // The protocol has one status for bodies that are too large or broken: malformed.
+    // The protocol uses one status, 400, for bodies that are too large and for malformed ones.
     if (response.status == wire::http_status::payload_too_large)
         response.status = wire::http_status::bad_request;
-    if (response.status == wire::http_status::not_found && is_served_otherwise(request))
+    if (response.status == wire::http_status::not_found && is_wrong_method(request))
         response.status = wire::http_status::method_not_allowed;
     response.set_content(wire::error_body("not served"), content_type);
 }
@@ -57,19 +61,19 @@
                                                     : wire::http_status::service_unavailable;
     });
     http.Post(wire::path::work, [handlers](const Request& request, httplib::Response& response) {
-        send(handlers.submission.handle(request.body), response);
+        write_response(handlers.submission.handle(request.body), response);
     });
-    http.Get(one_job, [handlers](const Request& request, httplib::Response& response) {
-        send(handlers.status.handle(request.matches[1], Origin::client), response);
+    http.Get(job_pattern, [handlers](const Request& request, httplib::Response& response) {
+        write_response(handlers.status.handle(request.matches[1], Origin::client), response);
     });
-    http.Post(cancel_one_job, [handlers](const Request& request, httplib::Response& response) {
-        send(handlers.cancellation.handle(request.matches[1], Origin::client), response);
+    http.Post(cancel_pattern, [handlers](const Request& request, httplib::Response& response) {
+        write_response(handlers.cancellation.handle(request.matches[1], Origin::client), response);
     });
-    http.Post(wire::path::heartbeat,
-              [handlers](const Request& request, httplib::Response& response) {
-                  send(handlers.heartbeats.heartbeat(request.body, Origin::client), response);
-              });
-    http.set_error_handler(answer_unserved);
+    http.Post(
+        wire::path::heartbeat, [handlers](const Request& request, httplib::Response& response) {
+            write_response(handlers.heartbeats.heartbeat(request.body, Origin::client), response);
+        });
+    http.set_error_handler(complete_error_response);
 }
 
 }  // namespace bendspindle::daemon
--- a/src/daemon/http_routes.hpp
+++ b/src/daemon/http_routes.hpp
@@ -1,4 +1,4 @@
-/// Paths of the HTTP server and the handlers they go to.
+/// Routes from the paths of the HTTP server to their handlers.
 #pragma once
 
 #include "agents/heartbeat_handler.hpp"
@@ -10,7 +10,7 @@
 
 namespace bendspindle::daemon {
 
-/// All of these outlive the server.
+/// The request handlers of the API. All of them must outlive the server.
 struct HttpHandlers {
     api::JobSubmissionHandler& submission;
     api::JobStatusHandler& status;
@@ -19,7 +19,8 @@
     const api::Health& health;
 };
 
-/// Before the server listens. Handlers are called on the server's threads, any number at once.
+/// Registers all routes. Call before the server listens. Handlers are called concurrently on the
+/// server's threads.
 void add_routes(io::HttpServer& http, HttpHandlers handlers);
 
 }  // namespace bendspindle::daemon
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -1,4 +1,5 @@
-// The command line: `serve` runs a controller, `check` reads settings, the rest are client verbs.
+// The command line: `serve` runs a controller, `check` validates the settings files, and the other
+// subcommands are clients of a controller.
 #include <malloc.h>
 #include <pthread.h>
 #include <spdlog/sinks/stdout_sinks.h>
@@ -19,24 +20,26 @@
 
 using namespace bendspindle;
 
-constexpr int bad_settings = 2;
+// Exit code for invalid settings and wrong usage.
+constexpr int exit_bad_settings = 2;
 
-void set_up_logging(const config::OperatorSettings& own) {
+void set_up_logging(const config::OperatorSettings& operator_settings) {
     spdlog::set_default_logger(spdlog::stderr_logger_mt("bendspindle"));
     spdlog::set_pattern("%H:%M:%S.%e %l %v");
-    std::string level = own.log_level;
-    // NOLINTNEXTLINE(concurrency-mt-unsafe): no other thread has been started yet
-    if (const char* wanted = std::getenv("LOG_LEVEL"); wanted && *wanted) level = wanted;
+    std::string level = operator_settings.log_level;
+    // NOLINTNEXTLINE(concurrency-mt-unsafe): no other thread has been started
+    if (const char* value = std::getenv("LOG_LEVEL"); value && *value) level = value;
     spdlog::set_level(level == "error"   ? spdlog::level::err
                       : level == "debug" ? spdlog::level::debug
                                          : spdlog::level::info);
     spdlog::flush_on(spdlog::level::trace);
 }
 
-bool threads_start_with(std::size_t stack) {
+// Sets the default stack size of threads and returns whether a thread can be started with it.
+bool can_start_thread(std::size_t stack_bytes) {
     pthread_attr_t attributes;
     ::pthread_attr_init(&attributes);
-    ::pthread_attr_setstacksize(&attributes, stack);
+    ::pthread_attr_setstacksize(&attributes, stack_bytes);
     ::pthread_setattr_default_np(&attributes);
     ::pthread_attr_destroy(&attributes);
     try {
@@ -47,25 +50,28 @@
     return true;
 }
 
-// Many threads in little memory: small stacks, and few arenas for the allocator.
-void fit_small_machines(const config::OperatorSettings& own) {
-    ::mallopt(M_ARENA_MAX, 2);  // NOLINT(concurrency-mt-unsafe): no other thread yet
-    // Guard against ending at once: a stack must also hold the thread's own storage, which a
-    // checker for threads makes larger than a small stack; then no thread could be started.
-    constexpr std::size_t doublings = 6;
-    std::size_t stack = own.stack_kb * 1024;
-    for (std::size_t i = 0; i < doublings && !threads_start_with(stack); ++i) stack *= 2;
+// Limits the memory of a process with many threads: small stacks and few allocator arenas.
+void limit_thread_memory(const config::OperatorSettings& operator_settings) {
+    ::mallopt(M_ARENA_MAX, 2);  // NOLINT(concurrency-mt-unsafe): no other thread has been started
+    // Doubles the stack size until a thread can be started: a stack also holds the thread-local
+    // storage, which a thread sanitizer makes larger than a small stack. Without this, no thread
+    // could be started and the process would exit immediately.
+    constexpr std::size_t max_doublings = 6;
+    std::size_t stack_bytes = operator_settings.stack_kb * 1024;
+    for (std::size_t i = 0; i < max_doublings && !can_start_thread(stack_bytes); ++i)
+        stack_bytes *= 2;
 }
 
 int serve(const std::string& config, const std::string& operator_file,
           const std::string& admission_file) {
     auto settings = config::load_settings(config);
-    auto own = config::load_operator_settings(operator_file);
-    own.fair_share_settings = config::load_fair_share_settings(admission_file, settings);
-    fit_small_machines(own);
-    set_up_logging(own);
-    daemon::catch_stop_signals();
-    daemon::Service service(std::move(settings), std::move(own));
+    auto operator_settings = config::load_operator_settings(operator_file);
+    operator_settings.fair_share_settings =
+        config::load_fair_share_settings(admission_file, settings);
+    limit_thread_memory(operator_settings);
+    set_up_logging(operator_settings);
+    daemon::install_stop_signal_handlers();
+    daemon::Service service(std::move(settings), std::move(operator_settings));
     return service.run() ? 0 : 1;
 }
 
@@ -98,7 +104,7 @@
         cli.parse(argc, argv);
     } catch (const CLI::ParseError& e) {
         const int code = cli.exit(e);
-        return code == 0 ? 0 : bad_settings;
+        return code == 0 ? 0 : exit_bad_settings;
     }
     if (*serve_verb) return serve(config, operator_file, admission_file);
     if (*check_verb) {
@@ -115,14 +121,14 @@
 
 }  // namespace
 
-// NOLINTNEXTLINE(bugprone-exception-escape): only printing the reason could still throw
+// NOLINTNEXTLINE(bugprone-exception-escape): only printing the error can throw here
 int main(int argc, char** argv) {
     std::signal(SIGPIPE, SIG_IGN);
     try {
         return run(argc, argv);
     } catch (const config::SettingsError& e) {
         std::cerr << "bendspindle: " << e.what() << "\n";
-        return bad_settings;
+        return exit_bad_settings;
     } catch (const std::exception& e) {
         std::cerr << "bendspindle: " << e.what() << "\n";
         return 1;
--- a/src/daemon/placement_loop.cpp
+++ b/src/daemon/placement_loop.cpp
@@ -15,10 +15,10 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr std::chrono::milliseconds least_between_cycles{250};
+constexpr std::chrono::milliseconds min_cycle_interval{250};
 
-// What the time until each start went into, for those who want to know: at debug level.
-// tools/reports.py reads these lines.
+// Logs at debug level how the time until each job start was spent. tools/reports.py parses these
+// lines.
 void log_started_jobs(core::Controller& controller) {
     const auto seconds = [](core::Seconds value) { return fmt::format("{:.2f}", value.count()); };
     for (const auto& start : controller.take_started()) {
@@ -55,21 +55,21 @@
             access.relock();
         }
         access.take_placement_request();
-        auto commands = cycle(access);
+        auto commands = run_cycle(access);
         access.unlock();
         for (auto& command : commands) agent_commands_.send(std::move(command));
-        next = Clock::now() + least_between_cycles;
+        next = Clock::now() + min_cycle_interval;
     }
 }
 
-std::vector<core::DirectCommand> PlacementLoop::cycle(state::LeaderState::Access& access) {
+std::vector<core::DirectCommand> PlacementLoop::run_cycle(state::LeaderState::Access& access) {
     auto* const controller = access.controller();
     if (controller == nullptr) return {};
     controller->hold_terminal_states_until(elector_.terminal_states_allowed_from());
     controller->cycle(Clock::now());
-    // Guard against ran_cancelled: a former leader went on starting by direct command, in the agent
-    // epoch that followed the lease it no longer renewed, what another had cancelled
-    // (DirectCommands.ALeaderThatMayNotRenewStartsNothing).
+    // Prevents ran_cancelled: without this check, a former leader that no longer renewed an agent's
+    // lease kept starting tasks by direct command in the following agent epoch, although another
+    // leader had cancelled them (DirectCommands.ALeaderThatMayNotRenewStartsNothing).
     auto commands = controller->direct_commands(Clock::now(), replication_.may_renew());
     log_started_jobs(*controller);
     if (auto& progress = access.failover_progress()) {
--- a/src/daemon/placement_loop.hpp
+++ b/src/daemon/placement_loop.hpp
@@ -1,7 +1,7 @@
-/// The leader's placement cycles: at its interval, and sooner when something has changed.
+/// The placement cycles of the leader: run periodically, and earlier when a change requests one.
 ///
-/// Owns the pace of cycles; the core decides, under the leader mutex. Direct commands are sent
-/// after the mutex was released. `run` has a thread of its own.
+/// This class determines when cycles run; the core makes the decisions, under the leader mutex.
+/// Direct commands are sent after the mutex has been released. `run` occupies a thread of its own.
 #pragma once
 
 #include <vector>
@@ -13,20 +13,22 @@
 
 namespace bendspindle::daemon {
 
-/// Runs cycles while this controller is the leader, and waits otherwise.
+/// Runs placement cycles while this controller is the leader and waits otherwise.
 class PlacementLoop {
   public:
-    /// All of these outlive it. `interval`: between cycles that nothing has asked for.
+    /// All references must outlive this object. `interval` is the time between two cycles if no
+    /// cycle is requested earlier.
     PlacementLoop(core::Seconds interval, state::LeaderState& leader_state,
                   leadership::LeaderElector& elector,
                   const leadership::CancellationReplication& replication,
                   agents::AgentCommandClient& agent_commands);
 
-    /// Runs until the process ends.
+    /// Runs placement cycles; never returns.
     void run();
 
   private:
-    std::vector<core::DirectCommand> cycle(state::LeaderState::Access& access);
+    /// Runs one cycle and returns the direct commands to send; none without a core controller.
+    std::vector<core::DirectCommand> run_cycle(state::LeaderState::Access& access);
 
     const core::Seconds interval_;
     state::LeaderState& leader_state_;
--- a/src/daemon/service.cpp
+++ b/src/daemon/service.cpp
@@ -16,28 +16,31 @@
 
 namespace {
 
-// Of the requests that the key-value store takes, for reading what users poll.
-constexpr double share_for_polls = 0.85;
-// About a lease without a leader, at a usual load.
+// Share of the request limit of the key-value store that may be used to answer status polls of
+// users.
+constexpr double status_poll_share = 0.85;
+// Covers the time of about one leader lease without a leader, at a typical load.
 constexpr std::chrono::seconds poll_burst{2};
 
-// All controllers share what the store takes.
+// Returns this controller's share of the status poll budget; all controllers share the request
+// limit of the key-value store.
 api::TokenBucket poll_budget(const config::Settings& settings) {
     const auto controllers = static_cast<double>(settings.peers.size() + 1);
-    const auto per_second = settings.state_limits.requests_per_s * share_for_polls / controllers;
+    const auto per_second = settings.state_limits.requests_per_s * status_poll_share / controllers;
     return {std::max(per_second, 1.0), poll_burst};
 }
 
 io::HttpServerLimits http_limits(const config::Settings& settings,
-                                 const config::OperatorSettings& own) {
+                                 const config::OperatorSettings& operator_settings) {
     io::HttpServerLimits limits;
-    limits.max_threads = config::max_connections(settings, own);
+    limits.max_threads = config::max_connections(settings, operator_settings);
     limits.max_waiting = config::max_waiting_connections(settings, limits.max_threads);
     return limits;
 }
 
-// Detached: the threads wait in calls and for work, and use parts that destructors would take
-// away. They end with the process, by _Exit (`stop_when_asked`), without destructors.
+// Starts a detached thread. These threads block in calls or wait for work and use members that
+// destructors would invalidate, so they are never joined: the process ends by _Exit, without
+// running destructors (`shut_down_on_signal`).
 template <typename Body>
 void start_detached(Body body) {
     std::thread(std::move(body)).detach();
@@ -45,12 +48,12 @@
 
 }  // namespace
 
-Service::Service(config::Settings settings, config::OperatorSettings own)
+Service::Service(config::Settings settings, config::OperatorSettings operator_settings)
     : settings_(std::move(settings)),
-      own_(std::move(own)),
+      operator_settings_(std::move(operator_settings)),
       store_(settings_.state),
-      terminal_states_(own_.max_cached_terminal_states),
-      elector_(store_, settings_.name, own_.leader_lease,
+      terminal_states_(operator_settings_.max_cached_terminal_states),
+      elector_(store_, settings_.name, operator_settings_.leader_lease,
                {[this](std::uint64_t term, std::uint64_t leader_key_revision) {
                     failover_.on_elected(term, leader_key_revision);
                 },
@@ -63,8 +66,10 @@
       cloud_(leader_state_, settings_, [this] { return elector_.lease_valid(); }),
       agent_commands_(leader_state_),
       heartbeats_(settings_.agent_timings, leader_state_, elector_, peers_, replication_),
-      failover_(settings_, own_, store_, leader_state_, elector_, replication_, heartbeats_),
-      placement_loop_(own_.cycle, leader_state_, elector_, replication_, agent_commands_),
+      failover_(settings_, operator_settings_, store_, leader_state_, elector_, replication_,
+                heartbeats_),
+      placement_loop_(operator_settings_.cycle, leader_state_, elector_, replication_,
+                      agent_commands_),
       announcements_(elector_, replication_, heartbeats_),
       job_records_(store_, terminal_states_, poll_budget(settings_)),
       job_submission_(settings_, elector_, leader_state_, job_admission_, job_records_),
@@ -75,7 +80,7 @@
                      replication_, leader_state_) {}
 
 bool Service::run() {
-    io::HttpServer http(http_limits(settings_, own_));
+    io::HttpServer http(http_limits(settings_, operator_settings_));
     add_routes(http, {job_submission_, job_status_, job_cancellation_, heartbeats_, health_});
     io::PeerServer peer_server(
         [this](const auto& request) { return peer_requests_.handle(request); },
@@ -89,28 +94,30 @@
         return false;
     }
     start_threads(peer_server);
-    // Last of all: it takes the signals to stop.
-    std::thread stopper([this, &http] { stop_when_asked(http, elector_); });
+    // Started last, because this thread receives the stop signals.
+    std::thread stopper([this, &http] { shut_down_on_signal(http, elector_); });
     io::log::info("serving", "controller", settings_.name);
     http.listen_after_bind();
-    if (stop_asked()) stopper.join();  // and with it the process
+    if (stop_requested()) stopper.join();  // does not return: the thread ends the process
     io::log::error("listening_socket_failed");
     std::_Exit(1);
 }
 
-// Started in this order, each by its part's owner; none waits for another. Which part has which
-// thread, and what ends a wait of it:
-//   cloud_           one: catalog, machine list, scale-out and release; its own pace
-//   elector_         two: the lease and the election, and the watch of the leader key
-//   state_writer_    one: commits records; a request to write
-//   job_admission_   one: commits first records as follower; an admitted job
-//   job_watch_       one: the watch of open jobs
-//   placement_loop_  one: placement cycles; a request for placement
-//   announcements_   one: each second
-//   agent_commands_  several: direct commands; a command to send
-//   peer_server      one that accepts, and one for each connection of a peer
-// Besides these: the HTTP server's threads, which grow with its connections, the thread that loads
-// the records of a new leader (`Failover`), and the one that stops the process (`run`).
+// Starts the threads of all components, in this order; none of them waits for another to start. The
+// threads of each component, and what wakes them:
+//   cloud_           1 thread: catalog, machine list, scale-out and release; wakes periodically
+//   elector_         2 threads: the lease and the election; the watch of the leader key
+//   state_writer_    1 thread: commits records; woken by a write request
+//   job_admission_   1 thread: commits the first records of jobs on a follower; woken by an
+//                    admitted job
+//   job_watch_       1 thread: the watch of open jobs
+//   placement_loop_  1 thread: placement cycles; woken by a placement request
+//   announcements_   1 thread: wakes every second
+//   agent_commands_  several threads: direct commands; woken by a command to send
+//   peer_server      1 thread that accepts, and 1 thread for each connection of a peer
+// Further threads: those of the HTTP server, whose number grows with its connections, the thread
+// that loads the records after an election (`Failover`), and the thread that shuts the process down
+// (`run`).
 void Service::start_threads(io::PeerServer& peer_server) {
     start_detached([this] { cloud_.run(); });
     start_detached([this] { elector_.run(); });
--- a/src/daemon/service.hpp
+++ b/src/daemon/service.hpp
@@ -1,7 +1,7 @@
-/// One controller: its parts, wired to each other, and the threads they run on.
+/// One controller: its components, their dependencies and the threads they run on.
 ///
-/// Followers route what users and agents ask to the leader; the leader schedules. What each part
-/// owns stands in its own header; here is only who knows whom, and who runs when.
+/// Followers forward requests of users and agents to the leader; the leader schedules. The header
+/// of each component documents its responsibility; this class only connects and starts them.
 #pragma once
 
 #include "agents/agent_command_client.hpp"
@@ -31,19 +31,19 @@
 
 namespace bendspindle::daemon {
 
-/// Lives as long as the process.
+/// Owns all components of a controller. Lives until the process exits.
 class Service {
   public:
-    Service(config::Settings settings, config::OperatorSettings own);
-    /// Serves until it is asked to stop (`stop_asked`), and ends the process then. Returns, with
-    /// false, only if an address could not be bound.
+    Service(config::Settings settings, config::OperatorSettings operator_settings);
+    /// Serves until a stop is requested (`stop_requested`) and then exits the process. Returns only
+    /// if an address could not be bound, with false.
     [[nodiscard]] bool run();
 
   private:
     void start_threads(io::PeerServer& peer_server);
 
     const config::Settings settings_;
-    const config::OperatorSettings own_;
+    const config::OperatorSettings operator_settings_;
     state::HttpKeyValueStore store_;
     state::LeaderState leader_state_;
     state::TerminalStateCache terminal_states_;
--- a/src/daemon/shutdown.cpp
+++ b/src/daemon/shutdown.cpp
@@ -14,26 +14,28 @@
 using std::chrono::milliseconds;
 using Clock = std::chrono::steady_clock;
 
-constexpr milliseconds signal_poll{250};
-constexpr milliseconds quiet_poll{20};
-constexpr milliseconds longest_wait_for_answers{3000};
-
-void wait_for_answers(const io::HttpServer& http) {
-    const auto until = Clock::now() + longest_wait_for_answers;
-    while (!http.drained() && Clock::now() < until) std::this_thread::sleep_for(quiet_poll);
+constexpr milliseconds signal_poll_interval{250};
+constexpr milliseconds drain_poll_interval{20};
+constexpr milliseconds max_drain_time{3000};
+
+void drain_requests(const io::HttpServer& http) {
+    const auto deadline = Clock::now() + max_drain_time;
+    while (!http.drained() && Clock::now() < deadline)
+        std::this_thread::sleep_for(drain_poll_interval);
 }
 
 }  // namespace
 
-void stop_when_asked(io::HttpServer& http, leadership::LeaderElector& elector) {
-    take_stop_signals_here();
-    while (!stop_asked()) std::this_thread::sleep_for(signal_poll);
+void shut_down_on_signal(io::HttpServer& http, leadership::LeaderElector& elector) {
+    unblock_stop_signals();
+    while (!stop_requested()) std::this_thread::sleep_for(signal_poll_interval);
     io::log::info("stop_requested");
     http.stop_accepting();
-    wait_for_answers(http);
+    drain_requests(http);
     elector.resign();
     io::log::info("stopped");
-    // No destructors: the other threads wait in calls and for work, and use what would be gone.
+    // Exits without running destructors: other threads are still blocked in calls or waiting for
+    // work, and use objects that the destructors would invalidate.
     std::_Exit(0);
 }
 
--- a/src/daemon/shutdown.hpp
+++ b/src/daemon/shutdown.hpp
@@ -1,4 +1,4 @@
-/// Stopping in good order, on a thread of its own that the service starts last.
+/// Graceful shutdown, on a dedicated thread that the service starts last.
 #pragma once
 
 #include "io/http_server.hpp"
@@ -6,12 +6,13 @@
 
 namespace bendspindle::daemon {
 
-/// Waits for the signal to stop, then ends the process, in this order: new connections are refused,
-/// so that the load balancer goes on to the next controller; requests under way get their answers,
-/// for a bounded time; leadership is given up, so that another controller leads at once.
+/// Waits for a stop signal, then shuts down and exits the process in these steps: refuses new
+/// connections, so that the load balancer uses another controller; waits a bounded time for the
+/// responses to requests in progress; resigns leadership, so that another controller can lead
+/// immediately.
 ///
-/// Nothing of this is needed for safety: a process that is killed leaves the same to its successor,
-/// which only begins a lease later.
-[[noreturn]] void stop_when_asked(io::HttpServer& http, leadership::LeaderElector& elector);
+/// None of these steps is required for safety: after a kill, the next leader finds the same stored
+/// state and only starts later, when the lease has expired.
+[[noreturn]] void shut_down_on_signal(io::HttpServer& http, leadership::LeaderElector& elector);
 
 }  // namespace bendspindle::daemon
--- a/src/daemon/stop_signal.cpp
+++ b/src/daemon/stop_signal.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-std::atomic<bool> asked{false};
+std::atomic<bool> requested{false};
 static_assert(std::atomic<bool>::is_always_lock_free, "used in a signal handler");
 
-// What shells report for a process that a signal ended.
-constexpr int ended_by_signal = 128;
+// Shells report 128 plus the signal number as the exit status of a process killed by a signal.
+constexpr int signal_exit_base = 128;
 
 void on_signal(int signal) {
-    if (asked.exchange(true)) ::_exit(ended_by_signal + signal);
+    if (requested.exchange(true)) ::_exit(signal_exit_base + signal);
 }
 
 sigset_t stop_signals() {
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-void catch_stop_signals() {
+void install_stop_signal_handlers() {
     struct sigaction action {};
     action.sa_handler = on_signal;
     action.sa_flags = SA_RESTART;
@@ -38,13 +38,13 @@
     ::pthread_sigmask(SIG_BLOCK, &set, nullptr);
 }
 
-void take_stop_signals_here() {
+void unblock_stop_signals() {
     const auto set = stop_signals();
     ::pthread_sigmask(SIG_UNBLOCK, &set, nullptr);
 }
 
-bool stop_asked() {
-    return asked.load();
+bool stop_requested() {
+    return requested.load();
 }
 
 }  // namespace bendspindle::daemon
--- a/src/daemon/stop_signal.hpp
+++ b/src/daemon/stop_signal.hpp
@@ -1,14 +1,17 @@
-/// SIGTERM and SIGINT: the first asks the service to stop in good order, the second ends the
-/// process at once.
+/// Handling of SIGTERM and SIGINT: the first signal requests a graceful shutdown, the second one
+/// terminates the process immediately.
 #pragma once
 
 namespace bendspindle::daemon {
 
-/// Before any thread is made: from then on the signals go to the thread that takes them.
-void catch_stop_signals();
-/// On the one thread that is to be interrupted by them (`stop_when_asked`).
-void take_stop_signals_here();
-/// Whether the first signal has come. For any thread.
-[[nodiscard]] bool stop_asked();
+/// Installs the signal handlers and blocks both signals in the calling thread. Call before any
+/// thread is started: threads inherit the mask, so that only a thread that calls
+/// `unblock_stop_signals` receives the signals.
+void install_stop_signal_handlers();
+/// Unblocks both signals in the calling thread. Called only by the thread that runs
+/// `shut_down_on_signal`.
+void unblock_stop_signals();
+/// Returns whether the first signal has been received. Thread-safe.
+[[nodiscard]] bool stop_requested();
 
 }  // namespace bendspindle::daemon
